--- a/src/bin/wheatpier-adapter.rs
+++ b/src/bin/wheatpier-adapter.rs
@@ -6,7 +6,7 @@
 fn main() -> ExitCode {
     let input = BufReader::with_capacity(1 << 20, io::stdin().lock());
     let output = BufWriter::with_capacity(1 << 20, io::stdout().lock());
-    match wheatpier::wire::run(input, output) {
+    match wheatpier::wire::run_adapter(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
             eprintln!("wheatpier-adapter: {fault}");
--- a/src/call.rs
+++ b/src/call.rs
@@ -6,7 +6,7 @@
 use crate::interface::{
     Action, CallId, Cause, End, Event, ExchangeId, List, Micros, NewCall, Number, Outcome, Report, Settings,
 };
-use crate::settings::Names;
+use crate::settings::IndexedNames;
 use crate::timers::Timers;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -218,7 +218,7 @@
 /// The call table and the module behind it.
 pub struct Driver {
     module: Controller,
-    names: Names,
+    names: IndexedNames,
     step: Micros,
     limits: Limits,
     /// Bytes of descriptions in the table.
@@ -243,7 +243,7 @@
 
 impl Driver {
     /// A driver with no call.
-    pub fn new(settings: Settings, names: Names, limits: Limits, seed: u64, now: Micros) -> Self {
+    pub fn new(settings: Settings, names: IndexedNames, limits: Limits, seed: u64, now: Micros) -> Self {
         let (step, mut actions) = (settings.step, Vec::new());
         let module = Controller::new(settings, seed, now, &mut actions);
         let mut driver = Driver {
@@ -705,7 +705,7 @@
 mod tests {
     use super::*;
     use crate::interface::{Health, Listed};
-    use crate::settings::{build, flatten};
+    use crate::settings::{build_settings, flatten_json};
 
     const MS: Micros = 1_000;
     const ORIGIN: Origin = Origin(1);
@@ -721,7 +721,7 @@
         fn new() -> Self {
             let config: serde_json::Value =
                 serde_json::from_str(include_str!("../tests/exchanges/config.json")).unwrap();
-            let (settings, names) = build(&flatten(&config["settings"])).unwrap();
+            let (settings, names) = build_settings(&flatten_json(&config["settings"])).unwrap();
             let now = 10_000 * MS;
             let limits = Limits { calls: 100, descriptions: 10_000, longest: 9_000 * MS, widths: vec![1.0] };
             let mut driver = Driver::new(settings, names, limits, 7, now);
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -1,7 +1,7 @@
 //! The JSON lines that carrier switches speak: pure and incremental.
 
 use crate::interface::{Cause, Report};
-use crate::settings::set_report;
+use crate::settings::set_report_value;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -57,7 +57,7 @@
             if let Some((name, value)) = pair.split_once(':')
                 && let Ok(value) = value.trim().parse()
             {
-                set_report(&mut report, name.trim(), value);
+                set_report_value(&mut report, name.trim(), value);
             }
         }
         report
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -10,7 +10,7 @@
 use crate::call::{Command, Driver, Due, Limits, Origin};
 use crate::clock::Clock;
 use crate::interface::{ExchangeId, Micros, Settings};
-use crate::settings::{self, Names};
+use crate::settings::{self, IndexedNames};
 use callers::Callers;
 use calloop::signals::{Signal, Signals};
 use calloop::timer::{TimeoutAction, Timer};
@@ -101,7 +101,7 @@
     feed: Option<SocketAddr>,
     known: Known,
     settings: Settings,
-    names: Names,
+    names: IndexedNames,
     connect_timeout: Micros,
     keepalive: Micros,
     limits: Limits,
@@ -126,8 +126,8 @@
 
     fn parse(path: &Path, text: &str) -> Result<Self, String> {
         let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
-        let pairs = settings::flatten(&file.settings);
-        let (mut settings, names) = settings::build(&pairs).map_err(|p| format!("settings: {p}"))?;
+        let pairs = settings::flatten_json(&file.settings);
+        let (mut settings, names) = settings::build_settings(&pairs).map_err(|p| format!("settings: {p}"))?;
         settings.release += ON_SOCKETS;
         let budget = Budget::new(
             file.limits.sockets.unwrap_or(1024),
@@ -145,15 +145,15 @@
                 .unwrap_or_else(|_| file.seed.bytes().fold(7, |n, b| n.rotate_left(9) ^ u64::from(b))),
             feed: if file.feed.is_empty() { None } else { Some(address("feed", &file.feed)?) },
             known: file.known,
-            connect_timeout: settings::span_or(&pairs, "limits.connectTimeoutS", CONNECT),
+            connect_timeout: settings::duration_or(&pairs, "limits.connectTimeoutS", CONNECT),
             limits: Limits {
                 calls: settings::count_or(&pairs, "limits.openCap", usize::MAX).min(budget.calls),
                 descriptions: budget.descriptions,
-                longest: settings::longest_wait(&pairs, LONGEST),
-                widths: settings::widths(&pairs),
+                longest: settings::max_caller_wait(&pairs, LONGEST),
+                widths: settings::circuits_by_class(&pairs),
             },
             budget,
-            keepalive: settings::span_or(&pairs, "limits.keepaliveS", KEEPALIVE),
+            keepalive: settings::duration_or(&pairs, "limits.keepaliveS", KEEPALIVE),
             settings,
             names,
         })
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -7,11 +7,11 @@
 use std::fmt;
 
 /// Settings by path, such as `services.0.aimS`.
-pub type Pairs = BTreeMap<String, String>;
+pub type FlatSettings = BTreeMap<String, String>;
 
 /// Names that the module knows only as indices.
 #[derive(Debug)]
-pub struct Names {
+pub struct IndexedNames {
     /// Classes of call.
     pub classes: Vec<String>,
     /// Tenants.
@@ -22,26 +22,26 @@
 
 /// What is wrong with a setting.
 #[derive(Debug)]
-pub struct Problem {
+pub struct SettingError {
     key: String,
     what: &'static str,
 }
 
-impl fmt::Display for Problem {
+impl fmt::Display for SettingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.key, self.what)
     }
 }
 
-type Res<T> = Result<T, Problem>;
+type Res<T> = Result<T, SettingError>;
 
 /// Seconds to microseconds.
-pub fn micros(seconds: f64) -> Micros {
+pub fn seconds_to_micros(seconds: f64) -> Micros {
     (seconds * 1e6).round() as Micros
 }
 
 /// Puts a named value of a load report in its place; unknown names and values that make no sense are left out.
-pub fn set_report(report: &mut Report, name: &str, value: f64) {
+pub fn set_report_value(report: &mut Report, name: &str, value: f64) {
     let v = (value.is_finite() && value >= 0.0).then_some(value);
     match name {
         "free" | "x0" => report.free = v,
@@ -58,13 +58,13 @@
 
 /// Flattens nested JSON to paths: a list of plain values is joined with commas; of a list of objects or lists
 /// the length stands under `.count` and the items under `.0`, `.1` and so on.
-pub fn flatten(value: &Value) -> Pairs {
-    let mut pairs = Pairs::new();
+pub fn flatten_json(value: &Value) -> FlatSettings {
+    let mut pairs = FlatSettings::new();
     walk("", value, &mut pairs);
     pairs
 }
 
-fn walk(path: &str, value: &Value, pairs: &mut Pairs) {
+fn walk(path: &str, value: &Value, pairs: &mut FlatSettings) {
     let below = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
     match value {
         Value::Object(map) => map.iter().for_each(|(key, v)| walk(&below(key), v, pairs)),
@@ -89,18 +89,18 @@
     }
 }
 
-struct Info<'a>(&'a Pairs);
+struct Info<'a>(&'a FlatSettings);
 
 impl<'a> Info<'a> {
     fn text(&self, key: &str) -> Res<&'a str> {
         match self.0.get(key) {
             Some(v) => Ok(v),
-            None => Err(Problem { key: key.to_string(), what: "missing" }),
+            None => Err(SettingError { key: key.to_string(), what: "missing" }),
         }
     }
 
     fn bad<T>(&self, key: &str) -> Res<T> {
-        Err(Problem { key: key.to_string(), what: "makes no sense" })
+        Err(SettingError { key: key.to_string(), what: "makes no sense" })
     }
 
     fn number(&self, key: &str) -> Res<f64> {
@@ -116,7 +116,7 @@
     }
 
     fn seconds(&self, key: &str) -> Res<Micros> {
-        Ok(micros(self.amount(key)?))
+        Ok(seconds_to_micros(self.amount(key)?))
     }
 
     fn whole(&self, key: &str, least: f64) -> Res<f64> {
@@ -158,9 +158,9 @@
 ///
 /// # Errors
 /// The first setting that is missing or makes no sense, by its path.
-pub fn build(pairs: &Pairs) -> Result<(Settings, Names), Problem> {
+pub fn build_settings(pairs: &FlatSettings) -> Result<(Settings, IndexedNames), SettingError> {
     let info = Info(pairs);
-    let mut names = Names { classes: vec![], tenants: vec![], zones: vec![] };
+    let mut names = IndexedNames { classes: vec![], tenants: vec![], zones: vec![] };
     let mut classes = Vec::new();
     for i in 0..info.count("services")? {
         let key = |k: &str| format!("services.{i}.{k}");
@@ -223,28 +223,28 @@
 }
 
 /// The longest time that a caller may say it waits: with some room, the longest deadline that the settings name.
-pub fn longest_wait(pairs: &Pairs, usual: Micros) -> Micros {
+pub fn max_caller_wait(pairs: &FlatSettings, usual: Micros) -> Micros {
     let deadlines = pairs.keys().filter(|k| k.starts_with("services.") && k.ends_with(".deadlineS"));
-    deadlines.map(|key| span_or(pairs, key, usual)).max().map_or(usual, |longest| longest / 2 * 3)
+    deadlines.map(|key| duration_or(pairs, key, usual)).max().map_or(usual, |longest| longest / 2 * 3)
 }
 
 /// The circuits that a call of each class takes; none where the settings don't say.
-pub fn widths(pairs: &Pairs) -> Vec<f64> {
+pub fn circuits_by_class(pairs: &FlatSettings) -> Vec<f64> {
     let list = pairs.get("familyInfo.circuitsByClass").map_or("", String::as_str);
     list.split(',').map_while(|w| w.parse().ok()).collect()
 }
 
 /// A span of the network side, which the module's settings don't hold.
-pub fn span_or(pairs: &Pairs, key: &str, usual: Micros) -> Micros {
-    amount_or(pairs, key).map_or(usual, micros)
+pub fn duration_or(pairs: &FlatSettings, key: &str, usual: Micros) -> Micros {
+    amount_or(pairs, key).map_or(usual, seconds_to_micros)
 }
 
 /// A count of the network side.
-pub fn count_or(pairs: &Pairs, key: &str, usual: usize) -> usize {
+pub fn count_or(pairs: &FlatSettings, key: &str, usual: usize) -> usize {
     amount_or(pairs, key).map_or(usual, |n| n as usize)
 }
 
-fn amount_or(pairs: &Pairs, key: &str) -> Option<f64> {
+fn amount_or(pairs: &FlatSettings, key: &str) -> Option<f64> {
     pairs.get(key).and_then(|v| v.parse::<f64>().ok()).filter(|v| *v > 0.0 && *v < 1e9)
 }
 
@@ -256,31 +256,31 @@
     fn nested_json_is_flattened_to_the_paths_of_the_wire() {
         let json =
             r#"{"a":{"b":1.5,"none":null},"l":["x","y"],"e":[],"o":[{"n":"p"}],"s":[[1,2],[]],"t":true}"#;
-        let pairs = flatten(&serde_json::from_str(json).unwrap());
+        let pairs = flatten_json(&serde_json::from_str(json).unwrap());
         let text: Vec<_> = pairs.iter().map(|(k, v)| format!("{k}={v}")).collect();
         assert_eq!(text.join(" "), "a.b=1.5 e= l=x,y o.0.n=p o.count=1 s.0=1,2 s.1= s.count=2 t=true");
     }
 
     #[test]
     fn a_setting_that_is_missing_or_senseless_is_named() {
-        let mut pairs = Pairs::new();
-        assert_eq!(build(&pairs).unwrap_err().to_string(), "services: missing");
+        let mut pairs = FlatSettings::new();
+        assert_eq!(build_settings(&pairs).unwrap_err().to_string(), "services: missing");
         pairs.insert("services.count".into(), "-3".into());
-        assert_eq!(build(&pairs).unwrap_err().to_string(), "services: makes no sense");
+        assert_eq!(build_settings(&pairs).unwrap_err().to_string(), "services: makes no sense");
     }
 
     #[test]
     fn what_only_the_network_side_reads_may_be_missing_or_odd() {
-        let pairs: Pairs =
+        let pairs: FlatSettings =
             [("a", "0.5"), ("b", "-1"), ("c", "x")].map(|(k, v)| (k.to_string(), v.to_string())).into();
-        assert_eq!(["a", "b", "c", "d"].map(|key| span_or(&pairs, key, 7)), [500_000, 7, 7, 7]);
+        assert_eq!(["a", "b", "c", "d"].map(|key| duration_or(&pairs, key, 7)), [500_000, 7, 7, 7]);
         assert_eq!((count_or(&pairs, "b", 9), count_or(&pairs, "a", 9)), (9, 0));
     }
 
     #[test]
     fn bounds_of_a_set_up_come_from_the_settings_where_they_are_named() {
-        let mut pairs = Pairs::new();
-        assert_eq!((longest_wait(&pairs, 7), widths(&pairs)), (7, vec![]));
+        let mut pairs = FlatSettings::new();
+        assert_eq!((max_caller_wait(&pairs, 7), circuits_by_class(&pairs)), (7, vec![]));
         for (key, value) in [
             ("services.0.deadlineS", "2"),
             ("services.1.deadlineS", "3"),
@@ -288,14 +288,18 @@
         ] {
             pairs.insert(key.into(), value.into());
         }
-        assert_eq!((longest_wait(&pairs, 7), widths(&pairs)), (4_500_000, vec![1.0, 2.0]));
+        assert_eq!((max_caller_wait(&pairs, 7), circuits_by_class(&pairs)), (4_500_000, vec![1.0, 2.0]));
     }
 
     #[test]
     fn reports_are_read_by_either_set_of_names() {
         let (mut a, mut b) = (Report::default(), Report::default());
-        [("free", 3.0), ("avg_ms", 2.0), ("new", 1.0)].iter().for_each(|(n, v)| set_report(&mut a, n, *v));
-        [("x0", 3.0), ("latency_ms", 2.0), ("x1", -1.0)].iter().for_each(|(n, v)| set_report(&mut b, n, *v));
+        [("free", 3.0), ("avg_ms", 2.0), ("new", 1.0)]
+            .iter()
+            .for_each(|(n, v)| set_report_value(&mut a, n, *v));
+        [("x0", 3.0), ("latency_ms", 2.0), ("x1", -1.0)]
+            .iter()
+            .for_each(|(n, v)| set_report_value(&mut b, n, *v));
         assert_eq!(a, b);
         assert_eq!((a.free, a.wait, a.size), (Some(3.0), Some(2000.0), None));
     }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -4,28 +4,28 @@
 use crate::interface::{
     Action, CallId, Cause, End, Event, ExchangeId, Health, List, Listed, Micros, NewCall, Outcome, Report,
 };
-use crate::settings::{self, Names, micros};
+use crate::settings::{self, IndexedNames, seconds_to_micros};
 use std::collections::BTreeMap;
 use std::fmt::{self, Write as _};
 use std::io::{self, BufRead, Write};
 
 /// What was wrong with the input, in one line.
 #[derive(Debug)]
-pub struct Fault(String);
+pub struct AdapterError(String);
 
-impl fmt::Display for Fault {
+impl fmt::Display for AdapterError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl From<io::Error> for Fault {
+impl From<io::Error> for AdapterError {
     fn from(e: io::Error) -> Self {
-        Fault(format!("input or output failed: {e}"))
+        AdapterError(format!("input or output failed: {e}"))
     }
 }
 
-type Res<T> = Result<T, Fault>;
+type Res<T> = Result<T, AdapterError>;
 
 /// The parts of one line, with the line's number for messages.
 struct Parts<'a> {
@@ -42,7 +42,7 @@
     }
 
     fn fault<T>(&self, field: &str, what: &str) -> Res<T> {
-        Err(Fault(format!("line {}: {}: {field}: {what}", self.line, self.name)))
+        Err(AdapterError(format!("line {}: {}: {field}: {what}", self.line, self.name)))
     }
 
     fn text(&mut self, field: &str) -> Res<&'a str> {
@@ -72,7 +72,11 @@
 
     fn seconds(&mut self, field: &str) -> Res<Micros> {
         let v: f64 = self.parse(field)?;
-        if v.is_finite() && v.abs() < 1e12 { Ok(micros(v)) } else { self.fault(field, "is no time") }
+        if v.is_finite() && v.abs() < 1e12 {
+            Ok(seconds_to_micros(v))
+        } else {
+            self.fault(field, "is no time")
+        }
     }
 
     fn flag(&mut self, field: &str) -> Res<bool> {
@@ -96,7 +100,7 @@
             let Ok(v) = value.parse::<f64>() else {
                 return self.fault(field, "holds a value that cannot be read");
             };
-            settings::set_report(&mut report, name, v);
+            settings::set_report_value(&mut report, name, v);
         }
         Ok(report)
     }
@@ -104,7 +108,7 @@
 
 struct Instance {
     module: Controller,
-    names: Names,
+    names: IndexedNames,
 }
 
 type Row = (Listed, String);
@@ -113,7 +117,7 @@
 ///
 /// # Errors
 /// The first line that cannot be understood, named with its field; nothing of that batch's reply is written.
-pub fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), Fault> {
+pub fn run_adapter(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut instances: BTreeMap<u64, Instance> = BTreeMap::new();
     let mut lists: BTreeMap<u64, Vec<Row>> = BTreeMap::new();
     let mut line = 0;
@@ -136,7 +140,7 @@
         reply.clear();
         loop {
             if !next(&mut input, &mut text, &mut line)? {
-                return Err(Fault(format!("line {line}: batch: cut short before COMMIT")));
+                return Err(AdapterError(format!("line {line}: batch: cut short before COMMIT")));
             }
             let mut parts = Parts::new(line, &text);
             match parts.name {
@@ -147,7 +151,9 @@
                     let mut rows = Vec::new();
                     for _ in 0..count {
                         if !next(&mut input, &mut text, &mut line)? {
-                            return Err(Fault(format!("line {line}: LEDGER: cut short before its last ROW")));
+                            return Err(AdapterError(format!(
+                                "line {line}: LEDGER: cut short before its last ROW"
+                            )));
                         }
                         rows.push(row(&mut Parts::new(line, &text))?);
                     }
@@ -162,8 +168,8 @@
                             pairs.insert(key.to_string(), value.to_string());
                         }
                     }
-                    let (settings, names) =
-                        settings::build(&pairs).map_err(|p| Fault(format!("line {line}: CREATE: {p}")))?;
+                    let (settings, names) = settings::build_settings(&pairs)
+                        .map_err(|p| AdapterError(format!("line {line}: CREATE: {p}")))?;
                     actions.clear();
                     let module = Controller::new(settings, seed, now, &mut actions);
                     write_actions(&mut reply, who, &actions);
@@ -211,7 +217,7 @@
     }
     match String::from_utf8(bytes) {
         Ok(t) => text.push_str(t.trim_end_matches(['\n', '\r'])),
-        Err(_) => return Err(Fault(format!("line {line}: text: is not UTF-8"))),
+        Err(_) => return Err(AdapterError(format!("line {line}: text: is not UTF-8"))),
     }
     Ok(true)
 }
@@ -232,7 +238,7 @@
     };
     parts.maybe::<f64>("capacityHint")?;
     let up: Option<f64> = parts.maybe("cameUpS")?;
-    let up_since = up.filter(|s| *s > 0.0).map(micros);
+    let up_since = up.filter(|s| *s > 0.0).map(seconds_to_micros);
     Ok((Listed { exchange, zone: 0, number, health, up_since }, zone))
 }
 
@@ -247,7 +253,7 @@
     }
 }
 
-fn event(parts: &mut Parts, names: &Names, lists: &BTreeMap<u64, Vec<Row>>) -> Res<Event> {
+fn event(parts: &mut Parts, names: &IndexedNames, lists: &BTreeMap<u64, Vec<Row>>) -> Res<Event> {
     Ok(match parts.name {
         "TOPOLOGY" => {
             let how = parts.text("how")?;
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -2,12 +2,12 @@
 
 mod common;
 use common::{CREATE, TOPOLOGY};
-use wheatpier::wire::run;
+use wheatpier::wire::run_adapter;
 
 /// The replies to `input`, and the fault's text if there was one.
 fn drill(input: &str) -> (String, Option<String>) {
     let mut out = Vec::new();
-    let result = run(input.as_bytes(), &mut out);
+    let result = run_adapter(input.as_bytes(), &mut out);
     (String::from_utf8(out).unwrap(), result.err().map(|f| f.to_string()))
 }
 
