--- a/src/call.rs
+++ b/src/call.rs
@@ -1,5 +1,5 @@
 //! Call control round the decisions: the call table, attempts and their deadlines. It knows no protocol and does
-//! no I/O: what a protocol has read comes in by the methods of [`Driver`], what is to be written goes out as
+//! no I/O: what a protocol has read comes in by the methods of [`CallControl`], what is to be written goes out as
 //! [`Command`]s, and another protocol can be put before it as it is.
 
 use crate::control::Controller;
@@ -7,32 +7,32 @@
     Action, CallId, Cause, End, Event, ExchangeId, List, Micros, NewCall, Number, Outcome, Report, Settings,
 };
 use crate::settings::Names;
-use crate::timers::Timers;
+use crate::timers::TimerQueue;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// Causes of a release (ITU-T Q.850), which the protocols of telephony share.
 pub mod cause {
     /// Normal clearing.
-    pub const NORMAL: u8 = 16;
+    pub const NORMAL_CLEARING: u8 = 16;
     /// User busy.
-    pub const BUSY: u8 = 17;
+    pub const USER_BUSY: u8 = 17;
     /// No circuit available.
     pub const NO_CIRCUIT: u8 = 34;
     /// Temporary failure: something broke on the way.
-    pub const BROKEN: u8 = 41;
+    pub const TEMPORARY_FAILURE: u8 = 41;
     /// Switching equipment congestion.
     pub const CONGESTION: u8 = 42;
     /// Resource unavailable.
-    pub const UNAVAILABLE: u8 = 47;
+    pub const RESOURCE_UNAVAILABLE: u8 = 47;
     /// Invalid information element contents.
-    pub const INVALID: u8 = 100;
+    pub const INVALID_CONTENTS: u8 = 100;
     /// Recovery on timer expiry.
-    pub const EXPIRED: u8 = 102;
+    pub const TIMER_EXPIRY: u8 = 102;
 }
 
 /// A caller's connection, whatever the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Origin(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// A call's id on the wire, the same on both sides. The module has ids of its own: they are mapped here alone.
 pub type Tag = u64;
@@ -49,24 +49,24 @@
 
 /// What set-ups may name, and how much of them may be held.
 #[derive(Clone, Debug)]
-pub struct Limits {
+pub struct CallLimits {
     /// Most calls in the table.
-    pub calls: usize,
+    pub max_calls: usize,
     /// Most bytes of the descriptions that open calls hold.
-    pub descriptions: usize,
+    pub max_description_bytes: usize,
     /// Longest that a caller may say it waits.
-    pub longest: Micros,
+    pub max_caller_timeout: Micros,
     /// Circuits that a call of each class takes, where the settings say so.
-    pub widths: Vec<f64>,
+    pub circuits_by_class: Vec<f64>,
 }
 
 /// Why a set-up is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum SetUpError {
     /// Its class or its figures make no sense.
-    Senseless,
+    Invalid,
     /// Its id is that of a call that is open or stands.
-    InUse,
+    TagInUse,
 }
 
 /// A set-up as a caller sent it.
@@ -77,15 +77,15 @@
     /// The class, by name.
     pub class: String,
     /// The number called.
-    pub called: String,
+    pub called_number: String,
     /// How long the caller waits.
-    pub left: Micros,
+    pub caller_timeout: Micros,
     /// The caller tries again.
     pub redial: bool,
     /// The exchange it is for.
     pub destination: Number,
     /// Circuits it takes.
-    pub width: f64,
+    pub circuits: f64,
     /// The advised tandem or, in transit, where it comes from.
     pub via: Number,
     /// Another gatekeeper passes it on.
@@ -117,21 +117,21 @@
         /// Its class.
         class: String,
         /// The number called.
-        called: String,
+        called_number: String,
         /// When the attempt times out.
-        until: Micros,
+        deadline: Micros,
         /// The caller's description.
         description: Option<String>,
     },
     /// Give a set-up up, or release a call that stands there.
-    GiveUp {
+    ReleaseAtSwitch {
         /// The switch.
         switch: ExchangeId,
         /// The call.
         tag: Tag,
     },
     /// Release a call wherever it may stand: it was set up before this program started.
-    GiveUpAnywhere(Tag),
+    ReleaseAtAllSwitches(Tag),
     /// Probe a switch.
     Probe {
         /// The switch.
@@ -142,7 +142,7 @@
     /// Tell a caller that its call stands.
     Answer {
         /// The caller's connection.
-        origin: Origin,
+        connection: ConnectionId,
         /// The call.
         tag: Tag,
         /// The description that the switch gave.
@@ -151,7 +151,7 @@
     /// Tell a caller that its call does not stand.
     Reject {
         /// The caller's connection.
-        origin: Origin,
+        connection: ConnectionId,
         /// The call.
         tag: Tag,
         /// Congestion if trying again is harmless, else failed.
@@ -160,9 +160,9 @@
         back_off: Micros,
     },
     /// Release a standing call towards its caller.
-    Release {
+    ReleaseToCaller {
         /// The connection of its set-up, if this program knows it.
-        origin: Option<Origin>,
+        connection: Option<ConnectionId>,
         /// The call.
         tag: Tag,
         /// Why.
@@ -174,21 +174,29 @@
 
 /// What the one timer queue holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum TimerEvent {
     /// The module wants to be woken.
-    Module(u64),
+    ControllerWakeUp {
+        /// The token that the controller gave.
+        token: u64,
+    },
     /// An attempt of a call has run out of time.
-    Attempt(CallId, u32),
+    AttemptTimeout {
+        /// The call.
+        call: CallId,
+        /// The number of the attempt.
+        attempt: u32,
+    },
     /// A probe has.
-    Probe(Tag),
+    ProbeTimeout(Tag),
     /// The connection to a switch has something due.
-    Link(ExchangeId),
+    SwitchConnection(ExchangeId),
     /// The control feed has.
-    Feed,
+    ControlFeed,
     /// The callers' connections are to be looked after.
-    Callers,
+    CallerMaintenance,
     /// The end of the program may be near.
-    Stop,
+    Shutdown,
 }
 
 struct Attempt {
@@ -206,7 +214,7 @@
 
 struct Call {
     tag: Tag,
-    origin: Origin,
+    origin: ConnectionId,
     class: usize,
     called: String,
     description: Option<String>,
@@ -216,11 +224,11 @@
 }
 
 /// The call table and the module behind it.
-pub struct Driver {
+pub struct CallControl {
     module: Controller,
     names: Names,
     step: Micros,
-    limits: Limits,
+    limits: CallLimits,
     /// Bytes of descriptions in the table.
     held: usize,
     calls: BTreeMap<CallId, Call>,
@@ -236,17 +244,17 @@
     next_batch: Micros,
     actions: Vec<Action>,
     /// All that is due at some time, the network's part too: there is one loop timer.
-    pub timers: Timers<Due>,
+    pub timers: TimerQueue<TimerEvent>,
     /// What is to be written.
     pub commands: Vec<Command>,
 }
 
-impl Driver {
-    /// A driver with no call.
-    pub fn new(settings: Settings, names: Names, limits: Limits, seed: u64, now: Micros) -> Self {
+impl CallControl {
+    /// Call control with an empty call table.
+    pub fn new(settings: Settings, names: Names, limits: CallLimits, seed: u64, now: Micros) -> Self {
         let (step, mut actions) = (settings.step, Vec::new());
         let module = Controller::new(settings, seed, now, &mut actions);
-        let mut driver = Driver {
+        let mut call_control = CallControl {
             module,
             names,
             step,
@@ -262,25 +270,25 @@
             events: vec![],
             next_batch: now,
             actions,
-            timers: Timers::default(),
+            timers: TimerQueue::default(),
             commands: vec![],
         };
-        driver.act(now);
-        driver
+        call_control.act(now);
+        call_control
     }
 
     /// The index of a zone's name; one that the settings do not name is a zone of its own.
-    pub fn zone(&self, name: &str) -> u32 {
+    pub fn zone_index(&self, name: &str) -> u32 {
         self.names.zones.iter().position(|z| z == name).unwrap_or(self.names.zones.len()) as u32
     }
 
     /// Calls that still wait for their final answer.
-    pub fn unanswered(&self) -> usize {
+    pub fn unanswered_count(&self) -> usize {
         self.calls.values().filter(|c| matches!(c.stage, Stage::Open(_))).count()
     }
 
     /// Whether a call has an attempt out at a switch, or stands there.
-    pub fn uses(&self, switch: ExchangeId) -> bool {
+    pub fn has_calls_at(&self, switch: ExchangeId) -> bool {
         self.calls.values().any(|c| match &c.stage {
             Stage::Open(attempt) => attempt.as_ref().is_some_and(|a| a.switch == switch),
             Stage::Standing { switch: at, .. } => *at == switch,
@@ -288,7 +296,7 @@
     }
 
     /// When the oldest set-up that is out at a switch was sent.
-    pub fn oldest_out(&self, switch: ExchangeId) -> Option<Micros> {
+    pub fn oldest_attempt_sent_at(&self, switch: ExchangeId) -> Option<Micros> {
         let out = |c: &Call| match &c.stage {
             Stage::Open(Some(a)) if a.switch == switch => Some(a.sent),
             _ => None,
@@ -302,64 +310,68 @@
     ///
     /// # Errors
     /// It is not taken, and nothing was answered.
-    pub fn set_up(&mut self, now: Micros, origin: Origin, new: SetUp) -> Result<(), Fault> {
+    pub fn handle_set_up(&mut self, now: Micros, origin: ConnectionId, new: SetUp) -> Result<(), SetUpError> {
         // Guards against two answers to one id: the first set-up alone is answered.
         if self.tags.contains_key(&new.tag) {
-            return Err(Fault::InUse);
+            return Err(SetUpError::TagInUse);
         }
-        let class = self.names.classes.iter().position(|c| *c == new.class).ok_or(Fault::Senseless)?;
-        let fits = |w: &f64| (new.width - w).abs() < 1e-9;
+        let class = self.names.classes.iter().position(|c| *c == new.class).ok_or(SetUpError::Invalid)?;
+        let fits = |w: &f64| (new.circuits - w).abs() < 1e-9;
         // Guards the switches and the module's figures against what no caller means: a switch closes its
         // connection, with all that is open on it, on what it can't read.
         let sound = new.tag != 0
-            && self.limits.widths.get(class).map_or(new.width > 0.0 && new.width <= 1e3, fits)
+            && self
+                .limits
+                .circuits_by_class
+                .get(class)
+                .map_or(new.circuits > 0.0 && new.circuits <= 1e3, fits)
             && (0..=1_000_000).contains(&new.destination)
             && (-1..=1_000_000).contains(&new.via)
-            && (0..=self.limits.longest).contains(&new.left);
+            && (0..=self.limits.max_caller_timeout).contains(&new.caller_timeout);
         if !sound {
-            return Err(Fault::Senseless);
+            return Err(SetUpError::Invalid);
         }
         let held = self.held + new.description.as_ref().map_or(0, String::len);
-        if self.calls.len() >= self.limits.calls || held > self.limits.descriptions {
+        if self.calls.len() >= self.limits.max_calls || held > self.limits.max_description_bytes {
             // Guards the memory, by the limits of the settings and the configuration.
-            self.turn_away(origin, new.tag);
+            self.reject_for_congestion(origin, new.tag);
             return Ok(());
         }
         self.held = held;
         self.last_id += 1;
         let id = CallId(self.last_id);
-        let give_up_at = now.saturating_add(new.left);
+        let give_up_at = now.saturating_add(new.caller_timeout);
         self.tags.insert(new.tag, id);
         self.events.push(Event::Call(NewCall {
             id,
             class,
             tenant: None,
-            called: new.called.clone(),
+            called: new.called_number.clone(),
             give_up_at,
             destination: new.destination,
-            width: new.width,
+            width: new.circuits,
             via: new.via,
             redial: new.redial,
             transit: new.transit,
         }));
-        let (tag, called, description) = (new.tag, new.called, new.description);
+        let (tag, called, description) = (new.tag, new.called_number, new.description);
         let (attempts, stage) = (0, Stage::Open(None));
         self.calls.insert(id, Call { tag, origin, class, called, description, give_up_at, attempts, stage });
         Ok(())
     }
 
     /// Refuses a set-up for which there is no place; the module never hears of it.
-    pub fn turn_away(&mut self, origin: Origin, tag: Tag) {
+    pub fn reject_for_congestion(&mut self, origin: ConnectionId, tag: Tag) {
         let back_off = OVERFULL_BACK_OFF;
-        self.commands.push(Command::Reject { origin, tag, cause: cause::CONGESTION, back_off });
+        self.commands.push(Command::Reject { connection: origin, tag, cause: cause::CONGESTION, back_off });
     }
 
     /// A caller has given its set-up up, or released its call; false if that is neither open nor stands.
-    pub fn released(&mut self, now: Micros, tag: Tag) -> bool {
+    pub fn handle_caller_release(&mut self, now: Micros, tag: Tag) -> bool {
         let Some(id) = self.tags.get(&tag).copied() else {
             // Not one of ours, and not an echo: a call of before the last restart may stand at any switch.
             if !self.over.contains_key(&tag) {
-                self.commands.push(Command::GiveUpAnywhere(tag));
+                self.commands.push(Command::ReleaseAtAllSwitches(tag));
                 self.remember(now, tag);
             }
             return false;
@@ -369,20 +381,20 @@
     }
 
     /// A caller's connection has ended: the set-ups open on it are given up. Calls that stand belong to none.
-    pub fn origin_closed(&mut self, now: Micros, origin: Origin) {
+    pub fn handle_caller_disconnect(&mut self, now: Micros, origin: ConnectionId) {
         let open = |c: &Call| c.origin == origin && matches!(c.stage, Stage::Open(_));
         let gone: Vec<CallId> = self.calls.iter().filter(|(_, c)| open(c)).map(|(id, _)| *id).collect();
         gone.into_iter().for_each(|id| self.abandon(now, id));
     }
 
     /// A set-up of this connection that is not answered yet.
-    pub fn owes(&self, origin: Origin) -> Option<Tag> {
+    pub fn unanswered_set_up(&self, origin: ConnectionId) -> Option<Tag> {
         let owed = self.calls.values().find(|c| c.origin == origin && matches!(c.stage, Stage::Open(_)));
         owed.map(|c| c.tag)
     }
 
     /// All connections that wait for an answer, and for how many.
-    pub fn owed(&self) -> BTreeMap<Origin, usize> {
+    pub fn unanswered_by_connection(&self) -> BTreeMap<ConnectionId, usize> {
         let mut owed = BTreeMap::new();
         for call in self.calls.values().filter(|c| matches!(c.stage, Stage::Open(_))) {
             *owed.entry(call.origin).or_default() += 1;
@@ -411,7 +423,7 @@
     // What switches send.
 
     /// A call stands.
-    pub fn stands(&mut self, now: Micros, switch: ExchangeId, tag: Tag, description: Option<String>) {
+    pub fn handle_answer(&mut self, now: Micros, switch: ExchangeId, tag: Tag, description: Option<String>) {
         let id = self.tags.get(&tag).copied();
         let call = id.and_then(|id| self.calls.get_mut(&id).map(|c| (id, c)));
         if let Some((id, call)) = call {
@@ -423,8 +435,8 @@
                     // It is not needed again, and calls stand for long.
                     self.held -= call.description.take().map_or(0, |d| d.len());
                     self.events.push(Event::Standing { call: id, attempt, took });
-                    let origin = call.origin;
-                    return self.commands.push(Command::Answer { origin, tag, description });
+                    let connection = call.origin;
+                    return self.commands.push(Command::Answer { connection, tag, description });
                 }
                 Stage::Standing { switch: at, .. } if *at == switch => return,
                 _ => {}
@@ -438,14 +450,14 @@
     }
 
     /// An attempt has failed, or a call that stood is over.
-    pub fn ended(&mut self, now: Micros, switch: ExchangeId, tag: Tag, release: Release) {
+    pub fn handle_switch_release(&mut self, now: Micros, switch: ExchangeId, tag: Tag, release: Release) {
         let Some(id) = self.tags.get(&tag).copied() else {
-            self.state(switch, release.report);
-            let was_standing = matches!(release.cause, cause::NORMAL | cause::BROKEN);
+            self.handle_load_report(switch, release.report);
+            let was_standing = matches!(release.cause, cause::NORMAL_CLEARING | cause::TEMPORARY_FAILURE);
             if was_standing && !self.over.contains_key(&tag) {
                 // A call of before the last restart: its caller still has it.
                 self.remember(now, tag);
-                self.commands.push(Command::Release { origin: None, tag, cause: release.cause });
+                self.commands.push(Command::ReleaseToCaller { connection: None, tag, cause: release.cause });
             }
             return;
         };
@@ -454,8 +466,8 @@
             Stage::Open(Some(a)) if a.switch == switch => {
                 let outcome = match release.cause {
                     cause::NO_CIRCUIT => Outcome::Full,
-                    cause::EXPIRED => Outcome::NotSent,
-                    cause::BROKEN => Outcome::Reset,
+                    cause::TIMER_EXPIRY => Outcome::NotSent,
+                    cause::TEMPORARY_FAILURE => Outcome::Reset,
                     _ => Outcome::Error,
                 };
                 let attempt = a.number;
@@ -473,16 +485,17 @@
                 }));
             }
             Stage::Standing { switch: at, .. } if *at == switch => {
-                let outcome = if release.cause == cause::NORMAL { Outcome::Ended } else { Outcome::Reset };
+                let outcome =
+                    if release.cause == cause::NORMAL_CLEARING { Outcome::Ended } else { Outcome::Reset };
                 self.over(now, id, release.cause, outcome, release.report);
             }
             // The end of an attempt that was given up before.
-            _ => self.state(switch, release.report),
+            _ => self.handle_load_report(switch, release.report),
         }
     }
 
     /// A switch has reported without being asked.
-    pub fn state(&mut self, switch: ExchangeId, report: Report) {
+    pub fn handle_load_report(&mut self, switch: ExchangeId, report: Report) {
         if report != Report::default() {
             self.events.push(Event::Probed { exchange: switch, answered: true, took: 0, report });
         }
@@ -490,13 +503,13 @@
 
     /// A switch that seemed silent has spoken on a new connection, so long after that was begun: as good as a
     /// probe that it has answered.
-    pub fn alive(&mut self, switch: ExchangeId, took: Micros) {
+    pub fn handle_switch_responsive(&mut self, switch: ExchangeId, took: Micros) {
         let (answered, took, report) = (true, took.max(1), Report::default());
         self.events.push(Event::Probed { exchange: switch, answered, took, report });
     }
 
     /// A probe has been answered.
-    pub fn probed(&mut self, now: Micros, tag: Tag, passed: bool, report: Report) {
+    pub fn handle_probe_result(&mut self, now: Micros, tag: Tag, passed: bool, report: Report) {
         if let Some((exchange, sent)) = self.probes.remove(&tag) {
             let took = (now - sent).max(1);
             self.events.push(Event::Probed { exchange, answered: passed, took, report });
@@ -504,14 +517,14 @@
     }
 
     /// No connection to a switch came up: these set-ups never left.
-    pub fn unreachable(&mut self, switch: ExchangeId, tags: &[Tag]) {
+    pub fn fail_unsent_set_ups(&mut self, switch: ExchangeId, tags: &[Tag]) {
         for tag in tags {
             self.end_attempts(switch, Outcome::Unreachable, |c| c.tag == *tag);
         }
     }
 
     /// A connection to a switch is gone, and with it the set-ups that were sent there up to then.
-    pub fn link_lost(&mut self, switch: ExchangeId, up_to: Micros) {
+    pub fn handle_connection_lost(&mut self, switch: ExchangeId, up_to: Micros) {
         let before = |c: &Call| matches!(&c.stage, Stage::Open(Some(a)) if a.sent <= up_to);
         self.end_attempts(switch, Outcome::Reset, before);
     }
@@ -530,7 +543,7 @@
     }
 
     /// A switch has died or is cut off: the calls that were sent to it before that are cut.
-    pub fn switch_died(&mut self, now: Micros, switch: ExchangeId, before: Micros) {
+    pub fn handle_switch_down(&mut self, now: Micros, switch: ExchangeId, before: Micros) {
         let cut = |c: &Call| matches!(c.stage, Stage::Standing { switch: s, sent, .. } if s == switch && sent < before);
         let ids: Vec<CallId> = self.calls.iter().filter(|(_, c)| cut(c)).map(|(id, _)| *id).collect();
         for id in ids {
@@ -538,12 +551,12 @@
             if let Some(tag) = self.calls.get(&id).map(|c| c.tag) {
                 self.give_up(tag, switch);
             }
-            self.over(now, id, cause::BROKEN, Outcome::Reset, Report::default());
+            self.over(now, id, cause::TEMPORARY_FAILURE, Outcome::Reset, Report::default());
         }
     }
 
     /// News of the list of switches.
-    pub fn list(&mut self, list: List) {
+    pub fn handle_switch_list(&mut self, list: List) {
         self.events.push(Event::List(list));
     }
 
@@ -551,7 +564,7 @@
     fn over(&mut self, now: Micros, id: CallId, cause: u8, outcome: Outcome, report: Report) {
         let Some(call) = self.take(now, id) else { return };
         let Stage::Standing { switch, attempt, .. } = call.stage else { return };
-        self.commands.push(Command::Release { origin: Some(call.origin), tag: call.tag, cause });
+        self.commands.push(Command::ReleaseToCaller { connection: Some(call.origin), tag: call.tag, cause });
         let (call, exchange, cause, closed) = (id, switch, Cause::None, true);
         self.events.push(Event::Ended(End { call, attempt, exchange, outcome, cause, closed, report }));
     }
@@ -559,16 +572,16 @@
     // Time and the module.
 
     /// When the next batch or timer is due.
-    pub fn next_due(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Micros> {
         let batch = (!self.events.is_empty()).then_some(self.next_batch);
-        [batch, self.timers.next()].into_iter().flatten().min()
+        [batch, self.timers.next_deadline()].into_iter().flatten().min()
     }
 
-    /// A timer of the driver's is due.
-    pub fn due(&mut self, now: Micros, due: Due) {
+    /// A timer of call control is due.
+    pub fn handle_timer(&mut self, now: Micros, due: TimerEvent) {
         match due {
-            Due::Module(token) => self.events.push(Event::Timer(token)),
-            Due::Attempt(id, number) => {
+            TimerEvent::ControllerWakeUp { token } => self.events.push(Event::Timer(token)),
+            TimerEvent::AttemptTimeout { call: id, attempt: number } => {
                 let Some(call) = self.calls.get_mut(&id) else { return };
                 let Stage::Open(Some(a)) = &call.stage else { return };
                 if a.number == number {
@@ -578,8 +591,11 @@
                     self.end(id, number, switch, Outcome::TimedOut, false);
                 }
             }
-            Due::Probe(tag) => self.probed(now, tag, false, Report::default()),
-            Due::Link(_) | Due::Feed | Due::Callers | Due::Stop => {}
+            TimerEvent::ProbeTimeout(tag) => self.handle_probe_result(now, tag, false, Report::default()),
+            TimerEvent::SwitchConnection(_)
+            | TimerEvent::ControlFeed
+            | TimerEvent::CallerMaintenance
+            | TimerEvent::Shutdown => {}
         }
     }
 
@@ -588,7 +604,7 @@
     /// As on the simulator's wire, all events of a batch come at its time, in their order of arrival, at least
     /// a step after the last one; the actions take effect after the last event, in order; what they bring about
     /// at once is an event of the next batch.
-    pub fn batch(&mut self, now: Micros) {
+    pub fn run_batch(&mut self, now: Micros) {
         if self.events.is_empty() || now < self.next_batch {
             return;
         }
@@ -598,7 +614,7 @@
         }
         self.act(now);
         while self.over_order.front().is_some_and(|o| o.0 <= now)
-            || self.over.len() > MOST_REMEMBERED * self.limits.calls
+            || self.over.len() > MOST_REMEMBERED * self.limits.max_calls
         {
             let Some((_, tag)) = self.over_order.pop_front() else { break };
             self.over.remove(&tag);
@@ -610,7 +626,7 @@
             match action {
                 Action::Send { call, exchange, timeout } => self.send(now, call, exchange, timeout),
                 Action::Refuse { call, back_off } => self.reject(now, call, cause::CONGESTION, back_off),
-                Action::Fail(call) => self.reject(now, call, cause::BROKEN, 0),
+                Action::Fail(call) => self.reject(now, call, cause::TEMPORARY_FAILURE, 0),
                 Action::Cancel { call, attempt } => {
                     let Some(c) = self.calls.get_mut(&call) else { continue };
                     let Stage::Open(Some(a)) = &c.stage else { continue };
@@ -625,13 +641,14 @@
                     self.last_probe = self.last_probe.wrapping_add(1);
                     let tag = self.last_probe;
                     self.probes.insert(tag, (switch, now));
-                    self.timers.push(now + PROBE_WAIT, Due::Probe(tag));
+                    self.timers.push(now + PROBE_WAIT, TimerEvent::ProbeTimeout(tag));
                     self.commands.push(Command::Probe { switch, tag });
                 }
                 // Changes to the list come unasked on the control feed.
                 Action::Subscribe => {}
                 Action::Timer { after, token } => {
-                    self.timers.push(now.saturating_add(after.max(0)), Due::Module(token));
+                    self.timers
+                        .push(now.saturating_add(after.max(0)), TimerEvent::ControllerWakeUp { token });
                 }
                 Action::Log(line) => self.log(line),
             }
@@ -647,11 +664,11 @@
             return self.end(id, number, switch, Outcome::NotSent, true);
         }
         call.stage = Stage::Open(Some(Attempt { number, switch, sent: now }));
-        let until = now.saturating_add(timeout).min(call.give_up_at);
+        let deadline = now.saturating_add(timeout).min(call.give_up_at);
         let class = self.names.classes.get(call.class).cloned().unwrap_or_default();
-        let (tag, called, description) = (call.tag, call.called.clone(), call.description.clone());
-        self.commands.push(Command::SetUp { switch, tag, class, called, until, description });
-        self.timers.push(until, Due::Attempt(id, number));
+        let (tag, called_number, description) = (call.tag, call.called.clone(), call.description.clone());
+        self.commands.push(Command::SetUp { switch, tag, class, called_number, deadline, description });
+        self.timers.push(deadline, TimerEvent::AttemptTimeout { call: id, attempt: number });
     }
 
     /// The one final answer of a call that does not stand. One that stands by now has had its answer.
@@ -663,7 +680,7 @@
         if let Stage::Open(Some(a)) = call.stage {
             self.give_up(call.tag, a.switch);
         }
-        self.commands.push(Command::Reject { origin: call.origin, tag: call.tag, cause, back_off });
+        self.commands.push(Command::Reject { connection: call.origin, tag: call.tag, cause, back_off });
     }
 
     /// Takes a call out of the table: the one place where it is given back.
@@ -682,7 +699,7 @@
     }
 
     fn give_up(&mut self, tag: Tag, switch: ExchangeId) {
-        self.commands.push(Command::GiveUp { switch, tag });
+        self.commands.push(Command::ReleaseAtSwitch { switch, tag });
     }
 
     fn end(&mut self, call: CallId, attempt: u32, exchange: ExchangeId, outcome: Outcome, closed: bool) {
@@ -695,9 +712,9 @@
     }
 
     /// Ends all calls that still wait: the program stops before their time-outs would.
-    pub fn fail_all(&mut self, now: Micros) {
+    pub fn fail_unanswered_calls(&mut self, now: Micros) {
         let open: Vec<CallId> = self.calls.keys().copied().collect();
-        open.into_iter().for_each(|id| self.reject(now, id, cause::BROKEN, 0));
+        open.into_iter().for_each(|id| self.reject(now, id, cause::TEMPORARY_FAILURE, 0));
     }
 }
 
@@ -708,12 +725,12 @@
     use crate::settings::{build, flatten};
 
     const MS: Micros = 1_000;
-    const ORIGIN: Origin = Origin(1);
+    const ORIGIN: ConnectionId = ConnectionId(1);
     const FAR: ExchangeId = ExchangeId(11);
 
-    /// A driver of exchange 0 that knows exchange 1, with room toward it, at a time of ten seconds.
+    /// Call control of exchange 0 that knows exchange 1, with room toward it, at a time of ten seconds.
     struct Rig {
-        driver: Driver,
+        call_control: CallControl,
         now: Micros,
     }
 
@@ -723,8 +740,13 @@
                 serde_json::from_str(include_str!("../tests/exchanges/config.json")).unwrap();
             let (settings, names) = build(&flatten(&config["settings"])).unwrap();
             let now = 10_000 * MS;
-            let limits = Limits { calls: 100, descriptions: 10_000, longest: 9_000 * MS, widths: vec![1.0] };
-            let mut driver = Driver::new(settings, names, limits, 7, now);
+            let limits = CallLimits {
+                max_calls: 100,
+                max_description_bytes: 10_000,
+                max_caller_timeout: 9_000 * MS,
+                circuits_by_class: vec![1.0],
+            };
+            let mut call_control = CallControl::new(settings, names, limits, 7, now);
             let listed = [(0, 10), (1, 11)].map(|(number, exchange)| Listed {
                 exchange: ExchangeId(exchange),
                 zone: 0,
@@ -732,20 +754,21 @@
                 health: Health::InService,
                 up_since: None,
             });
-            driver.list(List::Full(listed.into()));
-            driver.state(FAR, Report { free: Some(9.0), size: Some(9.0), ..Report::default() });
-            let mut rig = Rig { driver, now };
+            call_control.handle_switch_list(List::Full(listed.into()));
+            call_control
+                .handle_load_report(FAR, Report { free: Some(9.0), size: Some(9.0), ..Report::default() });
+            let mut rig = Rig { call_control, now };
             assert_eq!(rig.turn(), []);
             rig
         }
 
         /// A turn: what is due, a batch, and the commands that came of it.
         fn turn(&mut self) -> Vec<Command> {
-            while let Some(due) = self.driver.timers.pop(self.now) {
-                self.driver.due(self.now, due);
+            while let Some(due) = self.call_control.timers.pop_due(self.now) {
+                self.call_control.handle_timer(self.now, due);
             }
-            self.driver.batch(self.now);
-            std::mem::take(&mut self.driver.commands)
+            self.call_control.run_batch(self.now);
+            std::mem::take(&mut self.call_control.commands)
         }
 
         /// Turns in steps of a millisecond until one has commands.
@@ -760,11 +783,20 @@
             panic!("nothing is said any more");
         }
 
-        fn call(&mut self, tag: Tag, left: Micros) -> Vec<Command> {
-            let (class, called) = ("check".into(), format!("n{tag}"));
-            let (destination, width, via) = (1, 1.0, -1);
-            let new = SetUp { tag, class, called, left, destination, width, via, ..SetUp::default() };
-            self.driver.set_up(self.now, ORIGIN, new).unwrap();
+        fn call(&mut self, tag: Tag, caller_timeout: Micros) -> Vec<Command> {
+            let (class, called_number) = ("check".into(), format!("n{tag}"));
+            let (destination, circuits, via) = (1, 1.0, -1);
+            let new = SetUp {
+                tag,
+                class,
+                called_number,
+                caller_timeout,
+                destination,
+                circuits,
+                via,
+                ..SetUp::default()
+            };
+            self.call_control.handle_set_up(self.now, ORIGIN, new).unwrap();
             self.now += 10 * MS;
             self.turn()
         }
@@ -772,8 +804,8 @@
         fn stands(&mut self, tag: Tag) {
             let sent = self.call(tag, 3000 * MS);
             assert!(matches!(sent[..], [Command::SetUp { .. }]), "{sent:?}");
-            self.driver.stands(self.now, FAR, tag, None);
-            assert_eq!(self.turn(), [Command::Answer { origin: ORIGIN, tag, description: None }]);
+            self.call_control.handle_answer(self.now, FAR, tag, None);
+            assert_eq!(self.turn(), [Command::Answer { connection: ORIGIN, tag, description: None }]);
         }
     }
 
@@ -783,12 +815,12 @@
         rig.call(1, 300 * MS);
         // The module's own limit, 10 ms before the caller's, is due in the turn in which the answer comes.
         rig.now += 285 * MS;
-        while let Some(due) = rig.driver.timers.pop(rig.now) {
-            rig.driver.due(rig.now, due);
+        while let Some(due) = rig.call_control.timers.pop_due(rig.now) {
+            rig.call_control.handle_timer(rig.now, due);
         }
-        rig.driver.stands(rig.now, FAR, 1, None);
-        assert_eq!(rig.turn(), [Command::Answer { origin: ORIGIN, tag: 1, description: None }]);
-        assert_eq!(rig.driver.unanswered(), 0);
+        rig.call_control.handle_answer(rig.now, FAR, 1, None);
+        assert_eq!(rig.turn(), [Command::Answer { connection: ORIGIN, tag: 1, description: None }]);
+        assert_eq!(rig.call_control.unanswered_count(), 0);
     }
 
     #[test]
@@ -796,36 +828,40 @@
         let mut rig = Rig::new();
         rig.call(1, 300 * MS);
         let said = rig.until_said();
-        let reject = Command::Reject { origin: ORIGIN, tag: 1, cause: cause::BROKEN, back_off: 0 };
-        assert_eq!(said, [Command::GiveUp { switch: FAR, tag: 1 }, reject]);
-        rig.driver.stands(rig.now, FAR, 1, None);
-        assert_eq!(rig.turn(), [Command::GiveUp { switch: FAR, tag: 1 }]);
+        let reject =
+            Command::Reject { connection: ORIGIN, tag: 1, cause: cause::TEMPORARY_FAILURE, back_off: 0 };
+        assert_eq!(said, [Command::ReleaseAtSwitch { switch: FAR, tag: 1 }, reject]);
+        rig.call_control.handle_answer(rig.now, FAR, 1, None);
+        assert_eq!(rig.turn(), [Command::ReleaseAtSwitch { switch: FAR, tag: 1 }]);
     }
 
     #[test]
     fn after_a_reset_the_call_waits_for_the_release_and_goes_out_once() {
         let mut rig = Rig::new();
         rig.call(1, 3000 * MS);
-        rig.driver.link_lost(FAR, rig.now);
+        rig.call_control.handle_connection_lost(FAR, rig.now);
         let reset_at = rig.now;
         let said = rig.until_said();
         assert!(matches!(said[..], [Command::SetUp { tag: 1, .. }]), "{said:?}");
         assert!(rig.now - reset_at >= 500 * MS);
         // The module's view may lag: a second attempt beside the one that is out is never sent.
-        rig.driver.send(rig.now, CallId(1), FAR, MS);
-        assert_eq!(std::mem::take(&mut rig.driver.commands), []);
+        rig.call_control.send(rig.now, CallId(1), FAR, MS);
+        assert_eq!(std::mem::take(&mut rig.call_control.commands), []);
     }
 
     #[test]
     fn batches_keep_their_distance_and_hold_what_came_meanwhile() {
         let mut rig = Rig::new();
-        rig.driver.state(FAR, Report { free: Some(8.0), ..Report::default() });
+        rig.call_control.handle_load_report(FAR, Report { free: Some(8.0), ..Report::default() });
         rig.now += MS;
         rig.turn();
-        assert_eq!((rig.driver.events.len(), rig.driver.next_due()), (1, Some(rig.now + 4 * MS)));
+        assert_eq!(
+            (rig.call_control.events.len(), rig.call_control.next_deadline()),
+            (1, Some(rig.now + 4 * MS))
+        );
         rig.now += 4 * MS;
         rig.turn();
-        assert_eq!(rig.driver.events.len(), 0);
+        assert_eq!(rig.call_control.events.len(), 0);
     }
 
     #[test]
@@ -836,69 +872,78 @@
         let died = rig.now;
         rig.now += 100 * MS;
         rig.stands(2);
-        rig.driver.switch_died(rig.now, FAR, died);
-        let release = Command::Release { origin: Some(ORIGIN), tag: 1, cause: cause::BROKEN };
-        assert_eq!(rig.turn(), [Command::GiveUp { switch: FAR, tag: 1 }, release]);
-        assert!(rig.driver.uses(FAR), "the other one stands");
+        rig.call_control.handle_switch_down(rig.now, FAR, died);
+        let release =
+            Command::ReleaseToCaller { connection: Some(ORIGIN), tag: 1, cause: cause::TEMPORARY_FAILURE };
+        assert_eq!(rig.turn(), [Command::ReleaseAtSwitch { switch: FAR, tag: 1 }, release]);
+        assert!(rig.call_control.has_calls_at(FAR), "the other one stands");
     }
 
     #[test]
     fn the_end_of_an_unknown_call_is_passed_on_once_and_remembered_for_a_while() {
         let mut rig = Rig::new();
-        let end = || Release { cause: cause::NORMAL, note: Cause::None, report: Report::default() };
-        let release = Command::Release { origin: None, tag: 5, cause: cause::NORMAL };
-        rig.driver.ended(rig.now, FAR, 5, end());
-        rig.driver.ended(rig.now, FAR, 5, end());
-        rig.driver.released(rig.now, 5);
+        let end = || Release { cause: cause::NORMAL_CLEARING, note: Cause::None, report: Report::default() };
+        let release = Command::ReleaseToCaller { connection: None, tag: 5, cause: cause::NORMAL_CLEARING };
+        rig.call_control.handle_switch_release(rig.now, FAR, 5, end());
+        rig.call_control.handle_switch_release(rig.now, FAR, 5, end());
+        rig.call_control.handle_caller_release(rig.now, 5);
         assert_eq!(rig.turn(), [release]);
         rig.now += REMEMBERED + MS;
         rig.turn();
-        assert!(rig.driver.over.is_empty() && rig.driver.over_order.is_empty());
+        assert!(rig.call_control.over.is_empty() && rig.call_control.over_order.is_empty());
     }
 
     #[test]
     fn a_full_table_refuses_without_asking_the_module() {
         let mut rig = Rig::new();
-        rig.driver.limits.calls = 1;
+        rig.call_control.limits.max_calls = 1;
         rig.call(1, 3000 * MS);
-        let (origin, tag, cause, back_off) = (ORIGIN, 2, cause::CONGESTION, OVERFULL_BACK_OFF);
-        assert_eq!(rig.call(2, 3000 * MS), [Command::Reject { origin, tag, cause, back_off }]);
+        let (connection, tag, cause, back_off) = (ORIGIN, 2, cause::CONGESTION, OVERFULL_BACK_OFF);
+        assert_eq!(rig.call(2, 3000 * MS), [Command::Reject { connection, tag, cause, back_off }]);
     }
 
     #[test]
     fn descriptions_of_open_calls_are_bounded_and_given_back() {
         // Guards the memory: what open calls hold of it is counted, and no longer counted once they are answered.
         let mut rig = Rig::new();
-        rig.driver.limits.descriptions = 10;
+        rig.call_control.limits.max_description_bytes = 10;
         let set_up = |rig: &mut Rig, tag: Tag| {
             let description = Some("v=0 s=-".to_string());
-            let new =
-                SetUp { tag, class: "check".into(), called: "n".into(), left: 3000 * MS, ..SetUp::default() };
-            rig.driver
-                .set_up(rig.now, ORIGIN, SetUp { destination: 1, width: 1.0, description, ..new })
+            let new = SetUp {
+                tag,
+                class: "check".into(),
+                called_number: "n".into(),
+                caller_timeout: 3000 * MS,
+                ..SetUp::default()
+            };
+            rig.call_control
+                .handle_set_up(rig.now, ORIGIN, SetUp { destination: 1, circuits: 1.0, description, ..new })
                 .unwrap();
             rig.now += 10 * MS;
             rig.turn()
         };
         assert!(matches!(set_up(&mut rig, 1)[..], [Command::SetUp { tag: 1, .. }]));
         assert!(matches!(set_up(&mut rig, 2)[..], [Command::Reject { tag: 2, .. }]));
-        rig.driver.stands(rig.now, FAR, 1, None);
+        rig.call_control.handle_answer(rig.now, FAR, 1, None);
         rig.turn();
         assert!(matches!(set_up(&mut rig, 3)[..], [Command::SetUp { tag: 3, .. }]));
-        rig.driver.released(rig.now, 3);
-        assert_eq!(rig.driver.held, 0);
+        rig.call_control.handle_caller_release(rig.now, 3);
+        assert_eq!(rig.call_control.held, 0);
     }
 
     #[test]
     fn a_probe_is_answered_once_or_fails_in_time() {
         let mut rig = Rig::new();
-        rig.driver.actions.push(Action::Probe(FAR));
-        rig.driver.act(rig.now);
-        let said = std::mem::take(&mut rig.driver.commands);
+        rig.call_control.actions.push(Action::Probe(FAR));
+        rig.call_control.act(rig.now);
+        let said = std::mem::take(&mut rig.call_control.commands);
         let [Command::Probe { switch: FAR, tag }] = said[..] else { panic!("{said:?}") };
         rig.now += PROBE_WAIT;
-        rig.driver.due(rig.now, Due::Probe(tag));
-        rig.driver.probed(rig.now, tag, true, Report::default());
-        assert!(matches!(rig.driver.events[..], [Event::Probed { answered: false, took: PROBE_WAIT, .. }]));
+        rig.call_control.handle_timer(rig.now, TimerEvent::ProbeTimeout(tag));
+        rig.call_control.handle_probe_result(rig.now, tag, true, Report::default());
+        assert!(matches!(
+            rig.call_control.events[..],
+            [Event::Probed { answered: false, took: PROBE_WAIT, .. }]
+        ));
     }
 }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -26,7 +26,7 @@
         Clock { start, unix_start: Micros::try_from(unix.as_micros()).unwrap_or(0), turn: None }
     }
 
-    /// The time of this turn: read at its first use, the same until [`Clock::end_turn`].
+    /// The time of this turn: read at its first use, the same until [`Clock::end_iteration`].
     pub fn now(&mut self) -> Micros {
         let start = self.start;
         *self.turn.get_or_insert_with(|| {
@@ -35,12 +35,12 @@
     }
 
     /// The next use reads the time anew.
-    pub fn end_turn(&mut self) {
+    pub fn end_iteration(&mut self) {
         self.turn = None;
     }
 
     /// The instant at which the clock shows `at`, for the loop's timer.
-    pub fn instant(&self, at: Micros) -> Instant {
+    pub fn to_instant(&self, at: Micros) -> Instant {
         let after = u64::try_from(at.saturating_sub(BASE)).unwrap_or(0).min(1 << 50);
         self.start + Duration::from_micros(after)
     }
@@ -76,7 +76,7 @@
         let first = clock.now();
         while clock.start.elapsed() < Duration::from_micros(50) {}
         assert_eq!(clock.now(), first);
-        clock.end_turn();
+        clock.end_iteration();
         assert!(clock.now() > first);
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! wheatpier: the call gatekeeper of a mesh of carrier switches.
 //!
 //! [`control::Controller`] takes [`interface::Event`]s and answers with [`interface::Action`]s. It does no
-//! I/O, reads no clock and shares nothing. [`call::Driver`] is the call control round it, which knows no
+//! I/O, reads no clock and shares nothing. [`call::CallControl`] is the call control round it, which knows no
 //! protocol; [`net`] puts it on sockets, and [`wire`] puts the module on the simulator's wire instead.
 
 pub mod call;
--- a/src/net/callers.rs
+++ b/src/net/callers.rs
@@ -3,7 +3,7 @@
 use super::binary::{self, Message, code, kind};
 use super::link::{Link, Progress};
 use super::{Node, Unread, log};
-use crate::call::{Due, Fault, Origin, SetUp, Tag, cause};
+use crate::call::{ConnectionId, SetUp, SetUpError, Tag, TimerEvent, cause};
 use crate::interface::{Micros, Number};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -62,10 +62,10 @@
     handle: LoopHandle<'static, Node>,
     /// Most connections at a time, and most bytes unsent on one.
     most: (usize, usize),
-    callers: BTreeMap<Origin, Caller>,
+    callers: BTreeMap<ConnectionId, Caller>,
     last: u64,
     /// Tests that came before the gatekeeper was ready.
-    tests: Vec<(Origin, Tag)>,
+    tests: Vec<(ConnectionId, Tag)>,
     /// Releases for which no caller was connected, and since when they wait.
     releases: VecDeque<(Tag, u8, Micros)>,
     /// Connections closed since the last log line about them: the last reason, and how many.
@@ -100,7 +100,7 @@
 
     fn add(&mut self, now: Micros, stream: TcpStream) {
         self.last += 1;
-        let origin = Origin(self.last);
+        let origin = ConnectionId(self.last);
         match Link::new(&self.handle, stream, self.most.1, move |node| node.caller_ready(origin)) {
             Ok(link) => {
                 let (ended, trust, part, strikes, strange) = (false, Trust::None, None, 0, 0);
@@ -113,14 +113,16 @@
 
     /// The connection that can best be done without: of those on which no set-up is open the least trusted, and
     /// of these the idlest.
-    fn idlest(&self, owed: &BTreeMap<Origin, usize>) -> Option<Origin> {
+    fn idlest(&self, owed: &BTreeMap<ConnectionId, usize>) -> Option<ConnectionId> {
         let idle = self.callers.iter().filter(|(origin, _)| !owed.contains_key(origin));
         idle.min_by_key(|(_, c)| (c.trust, c.used)).map(|(origin, _)| *origin)
     }
 
     /// Connections that have been of no use for too long.
-    fn useless(&self, now: Micros, owed: &BTreeMap<Origin, usize>) -> Vec<(Origin, &'static str)> {
-        let why = |(origin, c): (&Origin, &Caller)| {
+    fn useless(
+        &self, now: Micros, owed: &BTreeMap<ConnectionId, usize>,
+    ) -> Vec<(ConnectionId, &'static str)> {
+        let why = |(origin, c): (&ConnectionId, &Caller)| {
             let patience = if c.trust == Trust::None { PATIENCE } else { IDLE };
             if c.part.is_some_and(|since| now >= since + PATIENCE) {
                 Some((*origin, "part of a message came and no more"))
@@ -134,13 +136,13 @@
     }
 
     /// Something of use has come on a connection, or been said on it.
-    fn trust(&mut self, now: Micros, origin: Origin, trust: Trust) {
+    fn trust(&mut self, now: Micros, origin: ConnectionId, trust: Trust) {
         if let Some(caller) = self.callers.get_mut(&origin) {
             (caller.used, caller.trust) = (now, caller.trust.max(trust));
         }
     }
 
-    fn write(&mut self, origin: Origin, message: &Message) {
+    fn write(&mut self, origin: ConnectionId, message: &Message) {
         if let Some(caller) = self.callers.get_mut(&origin)
             && !message.encode(caller.link.output())
         {
@@ -149,7 +151,7 @@
     }
 
     /// Tells a caller that its call stands.
-    pub fn answer(&mut self, now: Micros, origin: Origin, tag: Tag, description: Option<String>) {
+    pub fn answer(&mut self, now: Micros, origin: ConnectionId, tag: Tag, description: Option<String>) {
         let answer = Message::new(kind::ANSWER, tag);
         let answer = match description {
             Some(d) => answer.with(code::DESCRIPTION, d),
@@ -160,7 +162,7 @@
     }
 
     /// Tells a caller that its call does not stand, and for how long to stay away.
-    pub fn reject(&mut self, origin: Origin, tag: Tag, cause: u8, back_off: Micros) {
+    pub fn reject(&mut self, origin: ConnectionId, tag: Tag, cause: u8, back_off: Micros) {
         let mut refusal = Message::new(kind::RELEASE, tag).with(code::CAUSE, [cause]);
         if back_off > 0 {
             refusal = refusal.with(code::BACK_OFF, (back_off / 1000).max(1).to_string());
@@ -170,8 +172,8 @@
 
     /// Releases a standing call: on its set-up's connection, else on that of a caller known to make sense, else
     /// as soon as there is one.
-    pub fn release(&mut self, now: Micros, origin: Option<Origin>, tag: Tag, cause: u8) {
-        let open = |o: &Origin| self.callers.get(o).is_some_and(|c| !c.ended);
+    pub fn release(&mut self, now: Micros, origin: Option<ConnectionId>, tag: Tag, cause: u8) {
+        let open = |o: &ConnectionId| self.callers.get(o).is_some_and(|c| !c.ended);
         match origin.filter(open).or_else(|| self.best(Trust::Sound)) {
             Some(origin) => self.write_release(origin, tag, cause),
             None if self.releases.len() < MOST_WAITING => self.releases.push_back((tag, cause, now)),
@@ -179,12 +181,12 @@
         }
     }
 
-    fn write_release(&mut self, origin: Origin, tag: Tag, cause: u8) {
+    fn write_release(&mut self, origin: ConnectionId, tag: Tag, cause: u8) {
         self.write(origin, &Message::new(kind::RELEASE, tag).with(code::CAUSE, [cause]));
     }
 
     /// The connection that most likely has a caller at its end who reads it.
-    fn best(&self, least: Trust) -> Option<Origin> {
+    fn best(&self, least: Trust) -> Option<ConnectionId> {
         let open = self.callers.iter().filter(|(_, c)| !c.ended && c.trust >= least);
         open.max_by_key(|(_, c)| (c.trust, c.used)).map(|(origin, _)| *origin)
     }
@@ -217,7 +219,7 @@
     }
 
     /// Writes what waits; returns the connections that are over.
-    pub fn flush(&mut self, owed: impl Fn(Origin) -> bool) -> Vec<Origin> {
+    pub fn flush(&mut self, owed: impl Fn(ConnectionId) -> bool) -> Vec<ConnectionId> {
         let mut over = Vec::new();
         for (origin, caller) in &mut self.callers {
             let broken = match caller.link.flush() {
@@ -235,7 +237,7 @@
     }
 
     /// The one place where a caller's connection is given back. What was said to it is written first.
-    fn close(&mut self, origin: Origin) {
+    fn close(&mut self, origin: ConnectionId) {
         if let Some(mut caller) = self.callers.remove(&origin) {
             // It is closed in any case: whatever is not taken now is lost.
             let _ = caller.link.flush();
@@ -254,7 +256,7 @@
                     if self.callers.callers.len() >= self.callers.most.0 {
                         // Guards the descriptors. A listener that rests instead would keep callers out for as
                         // long as others hold their connections for nothing.
-                        match self.callers.idlest(&self.driver.owed()) {
+                        match self.callers.idlest(&self.call_control.unanswered_by_connection()) {
                             Some(origin) => self.close_useless(origin, "others need its place"),
                             None => continue,
                         }
@@ -271,7 +273,7 @@
     /// Closes connections that hold their place for nothing, and sends releases that waited for a caller.
     pub(super) fn look_after_callers(&mut self) {
         let now = self.clock.now();
-        for (origin, why) in self.callers.useless(now, &self.driver.owed()) {
+        for (origin, why) in self.callers.useless(now, &self.call_control.unanswered_by_connection()) {
             self.close_useless(origin, why);
         }
         self.callers.release_waiting(now);
@@ -279,17 +281,17 @@
         if n > 0 {
             log(&format!("callers' connections closed: {n}, the last since {why}"));
         }
-        self.driver.timers.push(now + LOOK, Due::Callers);
+        self.call_control.timers.push(now + LOOK, TimerEvent::CallerMaintenance);
     }
 
     /// Closes a connection whose caller makes no sense. Many may come: the log has a line for all of them.
-    fn close_useless(&mut self, origin: Origin, why: &str) {
+    fn close_useless(&mut self, origin: ConnectionId, why: &str) {
         self.callers.closed = (why.to_string(), self.callers.closed.1 + 1);
         self.close_caller(origin);
     }
 
     /// A message made no sense; true if the connection lives on.
-    fn strike(&mut self, origin: Origin, why: &str) -> bool {
+    fn strike(&mut self, origin: ConnectionId, why: &str) -> bool {
         let Some(caller) = self.callers.callers.get_mut(&origin) else { return false };
         caller.strikes += 1;
         let lives = caller.strikes < STRIKES;
@@ -300,7 +302,7 @@
     }
 
     /// Something has come on a caller's connection, or it has room again.
-    pub(super) fn caller_ready(&mut self, origin: Origin) {
+    pub(super) fn caller_ready(&mut self, origin: ConnectionId) {
         let now = self.clock.now();
         let Some(caller) = self.callers.callers.get_mut(&origin) else { return };
         if caller.ended {
@@ -328,7 +330,7 @@
             // One chunk at a time, so that a busy caller does not keep the others waiting.
             Progress::More => self.unread.push(Unread::Caller(origin)),
             Progress::Broken => self.close_caller(origin),
-            Progress::End => match self.driver.owes(origin) {
+            Progress::End => match self.call_control.unanswered_set_up(origin) {
                 // A caller that only finished sending still reads. Guards against one that is gone for good:
                 // this write, which means nothing, brings its reset.
                 Some(tag) => {
@@ -341,13 +343,13 @@
     }
 
     /// Takes a message; false if the connection is closed over it.
-    fn heard_caller(&mut self, origin: Origin, message: Message) -> bool {
+    fn heard_caller(&mut self, origin: ConnectionId, message: Message) -> bool {
         let (now, tag) = (self.clock.now(), message.call);
         let trust = self.callers.callers.get(&origin).map_or(Trust::None, |c| c.trust);
         match message.kind {
             kind::SET_UP => return self.heard_set_up(now, origin, &message, trust),
             kind::RELEASE if tag != 0 => {
-                let known = self.driver.released(now, tag);
+                let known = self.call_control.handle_caller_release(now, tag);
                 self.callers.write(origin, &Message::new(kind::RELEASED, tag));
                 self.callers.trust(now, origin, trust);
                 if !known && let Some(caller) = self.callers.callers.get_mut(&origin) {
@@ -377,30 +379,37 @@
         true
     }
 
-    fn heard_set_up(&mut self, now: Micros, origin: Origin, message: &Message, trust: Trust) -> bool {
+    fn heard_set_up(&mut self, now: Micros, origin: ConnectionId, message: &Message, trust: Trust) -> bool {
         let tag = message.call;
         let unproven = trust != Trust::Proven;
         let taken = match set_up(message) {
-            Some(_) if unproven && self.driver.owed().get(&origin).is_some_and(|n| *n >= UNPROVEN) => {
+            Some(_)
+                if unproven
+                    && self
+                        .call_control
+                        .unanswered_by_connection()
+                        .get(&origin)
+                        .is_some_and(|n| *n >= UNPROVEN) =>
+            {
                 // Guards the others against one that sends without end: its place is bounded.
-                self.driver.turn_away(origin, tag);
+                self.call_control.reject_for_congestion(origin, tag);
                 return true;
             }
-            Some(new) => self.driver.set_up(now, origin, new),
-            None => Err(Fault::Senseless),
+            Some(new) => self.call_control.handle_set_up(now, origin, new),
+            None => Err(SetUpError::Invalid),
         };
         match taken {
             Ok(()) => self.callers.trust(now, origin, Trust::Sound),
-            Err(Fault::Senseless) => {
-                self.callers.reject(origin, tag, cause::INVALID, 0);
+            Err(SetUpError::Invalid) => {
+                self.callers.reject(origin, tag, cause::INVALID_CONTENTS, 0);
                 return self.strike(origin, "its set-ups make no sense");
             }
             // An answer could be taken for that to the first set-up: a stranger's connection is closed instead.
-            Err(Fault::InUse) if unproven => {
+            Err(SetUpError::TagInUse) if unproven => {
                 self.close_useless(origin, "it sent a set-up whose id is in use");
                 return false;
             }
-            Err(Fault::InUse) => {
+            Err(SetUpError::TagInUse) => {
                 log(&format!("set-up {tag:016x}: the id is in use; ignored"));
                 return self.strike(origin, "it sent set-ups whose ids are in use");
             }
@@ -409,10 +418,10 @@
     }
 
     /// A caller's connection is over, and with it the set-ups that were open on it.
-    pub(super) fn close_caller(&mut self, origin: Origin) {
+    pub(super) fn close_caller(&mut self, origin: ConnectionId) {
         self.callers.close(origin);
         let now = self.clock.now();
-        self.driver.origin_closed(now, origin);
+        self.call_control.handle_caller_disconnect(now, origin);
     }
 }
 
@@ -425,11 +434,11 @@
     let mut new = SetUp {
         tag: message.call,
         class: message.text(code::CLASS)?.to_string(),
-        called: called.to_string(),
-        left: message.text(code::LEFT)?.parse::<i64>().ok()?.saturating_mul(1000),
+        called_number: called.to_string(),
+        caller_timeout: message.text(code::LEFT)?.parse::<i64>().ok()?.saturating_mul(1000),
         redial: message.text(code::REDIAL).is_some_and(|r| r != "0"),
         destination: -1,
-        width: 1.0,
+        circuits: 1.0,
         via: -1,
         transit: false,
         description: None,
@@ -441,7 +450,7 @@
         let whole = (value.fract() == 0.0 && value.abs() <= 1e9).then_some(value as Number);
         match name {
             "dest" => new.destination = whole?,
-            "width" => new.width = value,
+            "width" => new.circuits = value,
             "via" => new.via = whole?,
             "transit" => new.transit = whole? != 0,
             _ => {}
--- a/src/net/feed.rs
+++ b/src/net/feed.rs
@@ -4,7 +4,7 @@
 use super::link::{Decoded, Link, Progress};
 use super::switches::Host;
 use super::{Node, Unread, log};
-use crate::call::Due;
+use crate::call::TimerEvent;
 use crate::clock::Clock;
 use crate::interface::{Health, List, Listed, Micros, Number};
 use calloop::LoopHandle;
@@ -185,7 +185,7 @@
 
     fn set_feed_due(&mut self, due: Micros) {
         self.feed.due = due;
-        self.driver.timers.push(due, Due::Feed);
+        self.call_control.timers.push(due, TimerEvent::ControlFeed);
     }
 
     /// The one place where the connection is given back.
@@ -285,7 +285,7 @@
                 }
             };
             let host = entry.host(&self.clock);
-            let (zone, number) = (self.driver.zone(&entry.site), host.number);
+            let (zone, number) = (self.call_control.zone_index(&entry.site), host.number);
             let (health, up_since) = (host.health, host.up_since);
             let exchange = self.switches.id(&host.name, health);
             listed.extend(exchange.map(|exchange| Listed { exchange, zone, number, health, up_since }));
@@ -295,6 +295,10 @@
         if members.whole {
             self.keep_hosts(&names);
         }
-        self.driver.list(if members.whole { List::Full(listed) } else { List::Change(listed) });
+        self.call_control.handle_switch_list(if members.whole {
+            List::Full(listed)
+        } else {
+            List::Change(listed)
+        });
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -7,7 +7,7 @@
 pub mod link;
 pub mod switches;
 
-use crate::call::{Command, Driver, Due, Limits, Origin};
+use crate::call::{CallControl, CallLimits, Command, ConnectionId, TimerEvent};
 use crate::clock::Clock;
 use crate::interface::{ExchangeId, Micros, Settings};
 use crate::settings::{self, Names};
@@ -74,7 +74,7 @@
     caller_unsent: usize,
     /// Bytes unsent to one switch, and of a line of the control feed.
     peer: usize,
-    /// Calls, open or standing, at about a kilobyte each in the driver and the module.
+    /// Calls, open or standing, at about a kilobyte each in call control and the module.
     calls: usize,
     /// Bytes of the descriptions that open calls hold.
     descriptions: usize,
@@ -104,7 +104,7 @@
     names: Names,
     connect_timeout: Micros,
     keepalive: Micros,
-    limits: Limits,
+    call_limits: CallLimits,
 }
 
 impl Config {
@@ -146,11 +146,11 @@
             feed: if file.feed.is_empty() { None } else { Some(address("feed", &file.feed)?) },
             known: file.known,
             connect_timeout: settings::span_or(&pairs, "limits.connectTimeoutS", CONNECT),
-            limits: Limits {
-                calls: settings::count_or(&pairs, "limits.openCap", usize::MAX).min(budget.calls),
-                descriptions: budget.descriptions,
-                longest: settings::longest_wait(&pairs, LONGEST),
-                widths: settings::widths(&pairs),
+            call_limits: CallLimits {
+                max_calls: settings::count_or(&pairs, "limits.openCap", usize::MAX).min(budget.calls),
+                max_description_bytes: budget.descriptions,
+                max_caller_timeout: settings::longest_wait(&pairs, LONGEST),
+                circuits_by_class: settings::widths(&pairs),
             },
             budget,
             keepalive: settings::span_or(&pairs, "limits.keepaliveS", KEEPALIVE),
@@ -170,7 +170,7 @@
 /// A connection on which more may have come than was read in one turn.
 #[derive(Clone, Copy)]
 enum Unread {
-    Caller(Origin),
+    Caller(ConnectionId),
     Switch(ExchangeId),
     Feed,
 }
@@ -178,7 +178,7 @@
 /// The gatekeeper: what the callbacks of the loop work on.
 pub struct Node {
     clock: Clock,
-    driver: Driver,
+    call_control: CallControl,
     callers: Callers,
     switches: Switches,
     feed: Feed,
@@ -223,7 +223,7 @@
         .map_err(|e| format!("listen on {}: {e}", config.listen))?;
     let mut node = Node {
         clock,
-        driver: Driver::new(config.settings, config.names, config.limits, config.seed, now),
+        call_control: CallControl::new(config.settings, config.names, config.call_limits, config.seed, now),
         callers,
         switches: Switches::new(handle.clone(), config.connect_timeout, config.keepalive, here, budget.peer),
         feed: Feed::new(handle.clone(), config.feed, budget.peer),
@@ -237,12 +237,12 @@
     node.look_after_callers();
 
     while !node.turn() {
-        let next = node.driver.next_due();
-        node.clock.end_turn();
+        let next = node.call_control.next_deadline();
+        node.clock.end_iteration();
         if next.is_none() || next != node.armed {
             node.armed = next;
             // With nothing due the timer rests; the module's own tick never lets that happen.
-            let at = next.map_or_else(|| Instant::now() + REST, |at| node.clock.instant(at));
+            let at = next.map_or_else(|| Instant::now() + REST, |at| node.clock.to_instant(at));
             timer.as_source_mut().set_deadline(at);
             handle.update(&timer_token).map_err(|e| format!("timer: {e}"))?;
         }
@@ -258,20 +258,20 @@
     /// The end of a turn: what is due, a batch for the module, and all that is to be written. True at the end.
     fn turn(&mut self) -> bool {
         let now = self.clock.now();
-        while let Some(due) = self.driver.timers.pop(now) {
+        while let Some(due) = self.call_control.timers.pop_due(now) {
             match due {
-                Due::Link(switch) => self.link_due(switch),
-                Due::Feed => self.feed_due(),
-                Due::Callers => self.look_after_callers(),
-                Due::Stop => {
+                TimerEvent::SwitchConnection(switch) => self.link_due(switch),
+                TimerEvent::ControlFeed => self.feed_due(),
+                TimerEvent::CallerMaintenance => self.look_after_callers(),
+                TimerEvent::Shutdown => {
                     if self.stopping.is_some_and(|since| now >= since + LAST_ANSWER) {
-                        self.driver.fail_all(now);
+                        self.call_control.fail_unanswered_calls(now);
                     }
                 }
-                other => self.driver.due(now, other),
+                other => self.call_control.handle_timer(now, other),
             }
         }
-        self.driver.batch(now);
+        self.call_control.run_batch(now);
         self.carry_out();
         if !self.ready && self.switches.all_heard() {
             self.ready = true;
@@ -284,7 +284,7 @@
         self.flush();
         let quiet = |since: Micros| {
             let flushed = self.callers.is_flushed() && self.switches.is_flushed();
-            now >= since + STILL_COMING && self.driver.unanswered() == 0 && flushed
+            now >= since + STILL_COMING && self.call_control.unanswered_count() == 0 && flushed
         };
         self.stopping.is_some_and(|since| quiet(since) || now >= since + LAST_ANSWER + 100_000)
     }
@@ -303,24 +303,24 @@
     fn carry_out(&mut self) {
         let now = self.clock.now();
         // Carrying a command out may bring about more, as when a switch can't be reached.
-        while !self.driver.commands.is_empty() {
-            for command in std::mem::take(&mut self.driver.commands) {
+        while !self.call_control.commands.is_empty() {
+            for command in std::mem::take(&mut self.call_control.commands) {
                 match command {
-                    Command::SetUp { switch, tag, class, called, until, description } => {
-                        let message = switches::set_up(tag, class, called, description);
-                        self.send_set_up(switch, tag, message, until);
+                    Command::SetUp { switch, tag, class, called_number, deadline, description } => {
+                        let message = switches::set_up(tag, class, called_number, description);
+                        self.send_set_up(switch, tag, message, deadline);
                     }
-                    Command::GiveUp { switch, tag } => self.switches.give_up(switch, tag),
-                    Command::GiveUpAnywhere(tag) => self.switches.give_up_anywhere(tag),
+                    Command::ReleaseAtSwitch { switch, tag } => self.switches.give_up(switch, tag),
+                    Command::ReleaseAtAllSwitches(tag) => self.switches.give_up_anywhere(tag),
                     Command::Probe { switch, tag } => self.switches.probe(switch, tag),
-                    Command::Answer { origin, tag, description } => {
-                        self.callers.answer(now, origin, tag, description);
+                    Command::Answer { connection, tag, description } => {
+                        self.callers.answer(now, connection, tag, description);
                     }
-                    Command::Reject { origin, tag, cause, back_off } => {
-                        self.callers.reject(origin, tag, cause, back_off);
+                    Command::Reject { connection, tag, cause, back_off } => {
+                        self.callers.reject(connection, tag, cause, back_off);
                     }
-                    Command::Release { origin, tag, cause } => {
-                        self.callers.release(now, origin, tag, cause);
+                    Command::ReleaseToCaller { connection, tag, cause } => {
+                        self.callers.release(now, connection, tag, cause);
                     }
                     Command::Log(line) => log(&line),
                 }
@@ -329,8 +329,8 @@
     }
 
     fn flush(&mut self) {
-        let driver = &self.driver;
-        for origin in self.callers.flush(|origin| driver.owes(origin).is_some()) {
+        let call_control = &self.call_control;
+        for origin in self.callers.flush(|origin| call_control.unanswered_set_up(origin).is_some()) {
             self.close_caller(origin);
         }
         for switch in self.switches.flush() {
@@ -359,10 +359,10 @@
             return;
         }
         let now = self.clock.now();
-        log(&format!("told to stop: {} calls wait for their answer", self.driver.unanswered()));
+        log(&format!("told to stop: {} calls wait for their answer", self.call_control.unanswered_count()));
         self.stopping = Some(now);
         for after in [STILL_COMING, LAST_ANSWER, LAST_ANSWER + 100_000] {
-            self.driver.timers.push(now + after, Due::Stop);
+            self.call_control.timers.push(now + after, TimerEvent::Shutdown);
         }
     }
 }
--- a/src/net/switches.rs
+++ b/src/net/switches.rs
@@ -4,7 +4,7 @@
 use super::lines::{self, Message};
 use super::link::{Link, Progress};
 use super::{Node, Unread, log};
-use crate::call::{Due, Release, Tag, cause};
+use crate::call::{Release, Tag, TimerEvent, cause};
 use crate::interface::{Cause, ExchangeId, Health, Micros, Number, Report};
 use calloop::LoopHandle;
 use std::collections::{BTreeMap, HashMap};
@@ -235,7 +235,7 @@
             for other in taken {
                 log(&format!("switch {} has the address of another, which is gone", host.name));
                 self.drop_link(other);
-                self.driver.switch_died(now, other, now);
+                self.call_control.handle_switch_down(now, other, now);
                 if let Some(s) = self.switches.switches.get_mut(&other) {
                     s.host.address = None;
                 }
@@ -266,7 +266,7 @@
         let restarted = host.up_since.filter(|up| before.up_since != Some(*up));
         if let Some(up) = restarted {
             // A process that has started anew knows nothing of older calls, whatever its machine told us.
-            self.driver.switch_died(now, id, up);
+            self.call_control.handle_switch_down(now, id, up);
         }
         let switch = self.switches.switches.get(&id);
         let stale = switch.is_some_and(|s| match &s.state {
@@ -288,7 +288,7 @@
             log(&format!("switch {name} is Gone"));
         }
         self.drop_link(id);
-        self.driver.switch_died(now, id, now);
+        self.call_control.handle_switch_down(now, id, now);
         self.switches.switches.remove(&id);
         self.switches.names.remove(name);
     }
@@ -305,7 +305,7 @@
     pub(super) fn send_set_up(&mut self, id: ExchangeId, tag: Tag, mut message: Message, until: Micros) {
         let now = self.clock.now();
         let Some(switch) = self.switches.switches.get_mut(&id).filter(|s| s.wanted()) else {
-            return self.driver.unreachable(id, &[tag]);
+            return self.call_control.fail_unsent_set_ups(id, &[tag]);
         };
         if let State::Open(open) = &switch.state
             && about_to_close(now - open.used, self.switches.keepalive)
@@ -320,9 +320,12 @@
             open.asked.get_or_insert(now);
             if !left(&mut message, until - now).encode(open.link.output()) {
                 log(&format!("set-up {tag:016x} is too long to be passed on"));
-                let release =
-                    Release { cause: cause::UNAVAILABLE, note: Cause::None, report: Report::default() };
-                self.driver.ended(now, id, tag, release);
+                let release = Release {
+                    cause: cause::RESOURCE_UNAVAILABLE,
+                    note: Cause::None,
+                    report: Report::default(),
+                };
+                self.call_control.handle_switch_release(now, id, tag, release);
             }
             return;
         }
@@ -342,7 +345,7 @@
         }) {
             Ok(link) => {
                 switch.state = State::Connecting { link, until };
-                self.driver.timers.push(until, Due::Link(id));
+                self.call_control.timers.push(until, TimerEvent::SwitchConnection(id));
             }
             Err(e) => self.not_connected(id, &e.to_string()),
         }
@@ -361,14 +364,15 @@
         switch.retry = (switch.retry * 2).min(RETRY.1);
         self.close_link(id, retry_at);
         if now - since >= DEAD_AFTER {
-            self.driver.switch_died(now, id, now);
+            self.call_control.handle_switch_down(now, id, now);
         }
     }
 
     /// Looks after a connection that is open: has the switch been silent on it for too long?
     fn watch(&mut self, id: ExchangeId) {
         let now = self.clock.now();
-        let (used, oldest) = (self.driver.uses(id), self.driver.oldest_out(id));
+        let (used, oldest) =
+            (self.call_control.has_calls_at(id), self.call_control.oldest_attempt_sent_at(id));
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
         let State::Open(open) = &switch.state else { return };
         // One that has come in place of another is not looked at twice as often.
@@ -376,7 +380,7 @@
             return;
         }
         switch.watch_at = now + WATCH;
-        self.driver.timers.push(switch.watch_at, Due::Link(id));
+        self.call_control.timers.push(switch.watch_at, TimerEvent::SwitchConnection(id));
         // One that takes connections and says nothing is not waited for.
         switch.heard |= now >= open.since + SILENCE;
         let stuck = open.asked.is_some_and(|asked| now >= asked + STUCK) && switch.retired.is_none();
@@ -417,7 +421,7 @@
         // The time of its silence counts: nothing is gained by waiting for refusals as well.
         switch.lost_since = Some(switch.last_heard);
         self.close_link(id, now);
-        self.driver.switch_died(now, id, now);
+        self.call_control.handle_switch_down(now, id, now);
     }
 
     /// The second connection takes the place of one on which nothing comes any more, though the switch lives.
@@ -432,7 +436,7 @@
             switch.retired = Some(Retired { link: old.link, at: now });
             // It was the connection that failed, unless the one before it never served either.
             let took = trial.spoke.filter(|_| old.served);
-            took.into_iter().for_each(|took| self.driver.alive(id, took));
+            took.into_iter().for_each(|took| self.call_control.handle_switch_responsive(id, took));
         }
     }
 
@@ -441,7 +445,7 @@
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
         if let Some(retired) = switch.retired.take() {
             retired.link.close(&self.switches.handle);
-            self.driver.link_lost(id, retired.at);
+            self.call_control.handle_connection_lost(id, retired.at);
         }
     }
 
@@ -509,7 +513,7 @@
         match std::mem::replace(&mut switch.state, State::Closed { retry_at }) {
             State::Open(open) => {
                 open.link.close(&self.switches.handle);
-                self.driver.link_lost(id, up_to);
+                self.call_control.handle_connection_lost(id, up_to);
             }
             State::Connecting { link, .. } => link.close(&self.switches.handle),
             State::Closed { .. } => {}
@@ -518,8 +522,8 @@
         self.close_retired(id);
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
         let waiting: Vec<Tag> = switch.waiting.drain(..).map(|w| w.0).collect();
-        self.driver.unreachable(id, &waiting);
-        self.driver.timers.push(retry_at, Due::Link(id));
+        self.call_control.fail_unsent_set_ups(id, &waiting);
+        self.call_control.timers.push(retry_at, TimerEvent::SwitchConnection(id));
     }
 
     /// Something is due on a switch's connection.
@@ -577,7 +581,7 @@
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
         (switch.retry, switch.lost_since, switch.last_heard) = (RETRY.0, None, now);
         switch.watch_at = now + WATCH;
-        self.driver.timers.push(switch.watch_at, Due::Link(id));
+        self.call_control.timers.push(switch.watch_at, TimerEvent::SwitchConnection(id));
         let state = std::mem::replace(&mut switch.state, State::Closed { retry_at: now });
         if let State::Connecting { link, .. } = state {
             switch.state = State::Open(Open::new(link, now));
@@ -596,7 +600,7 @@
             (switch.heard, switch.last_heard) = (true, now);
         }
         if message.verb == "LOAD" {
-            self.driver.state(id, message.report());
+            self.call_control.handle_load_report(id, message.report());
             return Ok(());
         }
         let tag = message.call().ok_or("a message about no call")?;
@@ -604,14 +608,16 @@
             open.used = now;
         }
         match message.verb.as_str() {
-            "STARTED" => self.driver.stands(now, id, tag, message.blob),
+            "STARTED" => self.call_control.handle_answer(now, id, tag, message.blob),
             "FINISH" => {
                 let (note, report) = (message.note(), message.report());
                 let cause = message.rc.ok_or("a release without a cause")?;
-                self.driver.ended(now, id, tag, Release { cause, note, report });
+                self.call_control.handle_switch_release(now, id, tag, Release { cause, note, report });
                 self.switches.write(id, &Message::new("FINISHED", tag));
             }
-            "ECHOED" => self.driver.probed(now, tag, message.rc == Some(1), message.report()),
+            "ECHOED" => {
+                self.call_control.handle_probe_result(now, tag, message.rc == Some(1), message.report())
+            }
             _ => {}
         }
         Ok(())
@@ -634,7 +640,7 @@
 
 /// Gives a set-up up, or releases a call.
 fn finish(tag: Tag) -> Message {
-    Message { rc: Some(cause::NORMAL), ..Message::new("FINISH", tag) }
+    Message { rc: Some(cause::NORMAL_CLEARING), ..Message::new("FINISH", tag) }
 }
 
 /// A set-up with the time that is left for it, in whole milliseconds.
