--- a/src/net/binary.rs
+++ b/src/net/binary.rs
@@ -4,10 +4,10 @@
 //! counts what follows it.
 
 /// Most bytes of a message, its length included.
-pub const MOST: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
 /// Types of message.
-pub mod kind {
+pub mod message_type {
     /// A set-up, with a description.
     pub const SET_UP: u8 = 1;
     /// Progress; it means nothing.
@@ -17,76 +17,85 @@
     /// A refusal, a give-up or a release, with a cause.
     pub const RELEASE: u8 = 12;
     /// A release was heard.
-    pub const RELEASED: u8 = 16;
+    pub const RELEASE_COMPLETE: u8 = 16;
     /// A test.
-    pub const TEST: u8 = 52;
+    pub const HEALTH_CHECK: u8 = 52;
     /// The outcome of a test.
-    pub const TESTED: u8 = 53;
+    pub const HEALTH_CHECK_RESULT: u8 = 53;
 }
 
 /// Codes of parameters.
-pub mod code {
+pub mod parameter_code {
     /// The class of call.
     pub const CLASS: u8 = 180;
     /// How long the caller waits, in milliseconds.
-    pub const LEFT: u8 = 182;
+    pub const TIME_LEFT: u8 = 182;
     /// Marks a caller's retry.
     pub const REDIAL: u8 = 186;
     /// The number called.
-    pub const CALLED: u8 = 188;
+    pub const CALLED_NUMBER: u8 = 188;
     /// The figures of a set-up.
-    pub const FIGURES: u8 = 190;
+    pub const ROUTING: u8 = 190;
     /// For how long to stay away, in milliseconds.
     pub const BACK_OFF: u8 = 192;
     /// The cause, one byte.
     pub const CAUSE: u8 = 208;
     /// The description.
-    pub const DESCRIPTION: u8 = 210;
+    pub const SESSION_DESCRIPTION: u8 = 210;
+}
+
+/// A parameter of a message.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Parameter {
+    /// One of [`parameter_code`], or a code unknown here.
+    pub code: u8,
+    /// The bytes of its value.
+    pub value: Vec<u8>,
 }
 
 /// One message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     /// Its type.
-    pub kind: u8,
+    pub message_type: u8,
     /// The call that it is about.
-    pub call: u64,
+    pub call_reference: u64,
     /// Its parameters, in order.
-    pub parameters: Vec<(u8, Vec<u8>)>,
+    pub parameters: Vec<Parameter>,
 }
 
 impl Message {
     /// A message without parameters.
-    pub fn new(kind: u8, call: u64) -> Self {
-        Message { kind, call, parameters: vec![] }
+    pub fn new(message_type: u8, call_reference: u64) -> Self {
+        Message { message_type, call_reference, parameters: vec![] }
     }
 
     /// The same with one more parameter.
-    pub fn with(mut self, code: u8, value: impl Into<Vec<u8>>) -> Self {
-        self.parameters.push((code, value.into()));
+    pub fn with_parameter(mut self, code: u8, value: impl Into<Vec<u8>>) -> Self {
+        self.parameters.push(Parameter { code, value: value.into() });
         self
     }
 
     /// The value of a parameter.
-    pub fn get(&self, code: u8) -> Option<&[u8]> {
-        self.parameters.iter().find(|p| p.0 == code).map(|p| p.1.as_slice())
+    pub fn parameter(&self, code: u8) -> Option<&[u8]> {
+        self.parameters.iter().find(|p| p.code == code).map(|p| p.value.as_slice())
     }
 
     /// The value of a parameter that is text.
-    pub fn text(&self, code: u8) -> Option<&str> {
-        self.get(code).and_then(|v| std::str::from_utf8(v).ok())
+    pub fn text_parameter(&self, code: u8) -> Option<&str> {
+        self.parameter(code).and_then(|v| std::str::from_utf8(v).ok())
     }
 
     /// Appends the message's bytes, or nothing if it is longer than a message may be.
     pub fn encode(&self, out: &mut Vec<u8>) -> bool {
-        let length = 9 + self.parameters.iter().map(|p| 3 + p.1.len()).sum::<usize>();
-        if length + 2 > MOST {
+        let length = 9 + self.parameters.iter().map(|p| 3 + p.value.len()).sum::<usize>();
+        if length + 2 > MAX_MESSAGE_BYTES {
             return false;
         }
         out.extend_from_slice(&(length as u16).to_be_bytes());
-        out.push(self.kind);
-        out.extend_from_slice(&self.call.to_be_bytes());
-        for (code, value) in &self.parameters {
+        out.push(self.message_type);
+        out.extend_from_slice(&self.call_reference.to_be_bytes());
+        for Parameter { code, value } in &self.parameters {
             out.push(*code);
             out.extend_from_slice(&(value.len() as u16).to_be_bytes());
             out.extend_from_slice(value);
@@ -112,17 +121,18 @@
 /// What is wrong with it; nothing after it can be read.
 pub fn decode(mut bytes: &[u8]) -> Result<Option<(Message, usize)>, &'static str> {
     let Some(length) = number(&mut bytes, 2).map(|n| n as usize) else { return Ok(None) };
-    if !(9..=MOST - 2).contains(&length) {
+    if !(9..=MAX_MESSAGE_BYTES - 2).contains(&length) {
         return Err("a length that no message has");
     }
     let Some(mut body) = split(&mut bytes, length) else { return Ok(None) };
     let short = "a parameter longer than its message";
-    let kind = number(&mut body, 1).ok_or(short)? as u8;
-    let mut message = Message::new(kind, number(&mut body, 8).ok_or(short)?);
+    let message_type = number(&mut body, 1).ok_or(short)? as u8;
+    let mut message = Message::new(message_type, number(&mut body, 8).ok_or(short)?);
     while !body.is_empty() {
         let code = number(&mut body, 1).ok_or(short)? as u8;
         let n = number(&mut body, 2).ok_or(short)? as usize;
-        message.parameters.push((code, split(&mut body, n).ok_or(short)?.to_vec()));
+        let value = split(&mut body, n).ok_or(short)?.to_vec();
+        message.parameters.push(Parameter { code, value });
     }
     Ok(Some((message, length + 2)))
 }
@@ -133,9 +143,9 @@
 
     #[test]
     fn a_message_is_read_only_once_it_is_whole_and_survives_the_round_trip() {
-        let message = Message::new(kind::SET_UP, 0x9b1f_03aa_5c7e_2d41)
-            .with(code::CLASS, "voice")
-            .with(code::DESCRIPTION, vec![0, 255, 13]);
+        let message = Message::new(message_type::SET_UP, 0x9b1f_03aa_5c7e_2d41)
+            .with_parameter(parameter_code::CLASS, "voice")
+            .with_parameter(parameter_code::SESSION_DESCRIPTION, vec![0, 255, 13]);
         let mut bytes = Vec::new();
         assert!(message.encode(&mut bytes));
         for n in 0..bytes.len() {
@@ -148,11 +158,15 @@
     #[test]
     fn the_longest_message_passes_and_a_longer_one_does_not() {
         let mut bytes = Vec::new();
-        assert!(Message::new(1, 2).with(210, vec![b'x'; MOST - 14]).encode(&mut bytes));
-        assert_eq!(bytes.len(), MOST);
-        assert!(matches!(decode(&bytes), Ok(Some((_, MOST)))));
-        assert!(!Message::new(1, 2).with(210, vec![b'x'; MOST - 13]).encode(&mut bytes));
-        assert_eq!(bytes.len(), MOST, "nothing was appended");
+        assert!(
+            Message::new(1, 2).with_parameter(210, vec![b'x'; MAX_MESSAGE_BYTES - 14]).encode(&mut bytes)
+        );
+        assert_eq!(bytes.len(), MAX_MESSAGE_BYTES);
+        assert!(matches!(decode(&bytes), Ok(Some((_, MAX_MESSAGE_BYTES)))));
+        assert!(
+            !Message::new(1, 2).with_parameter(210, vec![b'x'; MAX_MESSAGE_BYTES - 13]).encode(&mut bytes)
+        );
+        assert_eq!(bytes.len(), MAX_MESSAGE_BYTES, "nothing was appended");
         assert!(decode(&[0x40, 0]).is_err());
     }
 
@@ -168,10 +182,12 @@
     #[test]
     fn whatever_bytes_come_they_are_read_or_refused() {
         let mut whole = Vec::new();
-        let message = Message::new(kind::SET_UP, 7).with(code::CLASS, "check").with(code::CAUSE, [34]);
+        let message = Message::new(message_type::SET_UP, 7)
+            .with_parameter(parameter_code::CLASS, "check")
+            .with_parameter(parameter_code::CAUSE, [34]);
         assert!(message.encode(&mut whole));
         let (mut read, mut refused) = (0, 0);
-        crate::net::mangled(&whole, |bytes| match decode(bytes) {
+        crate::net::for_each_mutation(&whole, |bytes| match decode(bytes) {
             Ok(Some((message, taken))) => {
                 assert!(taken <= bytes.len());
                 let mut again = Vec::new();
--- a/src/net/callers.rs
+++ b/src/net/callers.rs
@@ -1,7 +1,7 @@
 //! The caller side: the listener and the connections of callers, on which binary messages are spoken.
 
-use super::binary::{self, Message, code, kind};
-use super::link::{Link, Progress};
+use super::binary::{self, Message, message_type, parameter_code};
+use super::link::{Connection, ReadStatus};
 use super::{Node, Unread, log};
 use crate::call::{Due, Fault, Origin, SetUp, Tag, cause};
 use crate::interface::{Micros, Number};
@@ -45,7 +45,7 @@
 }
 
 struct Caller {
-    link: Link,
+    link: Connection,
     /// It has finished sending: it is closed once nothing is owed on it.
     ended: bool,
     trust: Trust,
@@ -101,7 +101,7 @@
     fn add(&mut self, now: Micros, stream: TcpStream) {
         self.last += 1;
         let origin = Origin(self.last);
-        match Link::new(&self.handle, stream, self.most.1, move |node| node.caller_ready(origin)) {
+        match Connection::new(&self.handle, stream, self.most.1, move |node| node.caller_ready(origin)) {
             Ok(link) => {
                 let (ended, trust, part, strikes, strange) = (false, Trust::None, None, 0, 0);
                 let caller = Caller { link, ended, trust, used: now, part, strikes, strange };
@@ -142,17 +142,17 @@
 
     fn write(&mut self, origin: Origin, message: &Message) {
         if let Some(caller) = self.callers.get_mut(&origin)
-            && !message.encode(caller.link.output())
+            && !message.encode(caller.link.output_buffer())
         {
-            log(&format!("a message of type {} is too long to be sent", message.kind));
+            log(&format!("a message of type {} is too long to be sent", message.message_type));
         }
     }
 
     /// Tells a caller that its call stands.
     pub fn answer(&mut self, now: Micros, origin: Origin, tag: Tag, description: Option<String>) {
-        let answer = Message::new(kind::ANSWER, tag);
+        let answer = Message::new(message_type::ANSWER, tag);
         let answer = match description {
-            Some(d) => answer.with(code::DESCRIPTION, d),
+            Some(d) => answer.with_parameter(parameter_code::SESSION_DESCRIPTION, d),
             None => answer,
         };
         self.write(origin, &answer);
@@ -161,9 +161,10 @@
 
     /// Tells a caller that its call does not stand, and for how long to stay away.
     pub fn reject(&mut self, origin: Origin, tag: Tag, cause: u8, back_off: Micros) {
-        let mut refusal = Message::new(kind::RELEASE, tag).with(code::CAUSE, [cause]);
+        let mut refusal =
+            Message::new(message_type::RELEASE, tag).with_parameter(parameter_code::CAUSE, [cause]);
         if back_off > 0 {
-            refusal = refusal.with(code::BACK_OFF, (back_off / 1000).max(1).to_string());
+            refusal = refusal.with_parameter(parameter_code::BACK_OFF, (back_off / 1000).max(1).to_string());
         }
         self.write(origin, &refusal);
     }
@@ -180,7 +181,10 @@
     }
 
     fn write_release(&mut self, origin: Origin, tag: Tag, cause: u8) {
-        self.write(origin, &Message::new(kind::RELEASE, tag).with(code::CAUSE, [cause]));
+        self.write(
+            origin,
+            &Message::new(message_type::RELEASE, tag).with_parameter(parameter_code::CAUSE, [cause]),
+        );
     }
 
     /// The connection that most likely has a caller at its end who reads it.
@@ -202,7 +206,11 @@
     /// Answers the tests that have come, once the gatekeeper is ready.
     pub fn pass_tests(&mut self, passed: bool) {
         for (origin, tag) in std::mem::take(&mut self.tests) {
-            self.write(origin, &Message::new(kind::TESTED, tag).with(code::CAUSE, [u8::from(passed)]));
+            self.write(
+                origin,
+                &Message::new(message_type::HEALTH_CHECK_RESULT, tag)
+                    .with_parameter(parameter_code::CAUSE, [u8::from(passed)]),
+            );
         }
     }
 
@@ -305,16 +313,16 @@
         let Some(caller) = self.callers.callers.get_mut(&origin) else { return };
         if caller.ended {
             // Nothing more comes but the reset of a caller that is gone.
-            if !matches!(caller.link.connected(), Ok(true)) {
+            if !matches!(caller.link.check_connected(), Ok(true)) {
                 self.close_caller(origin);
             }
             return;
         }
         let progress = caller.link.read();
-        let (messages, result) = caller.link.messages(binary::decode);
+        let (messages, result) = caller.link.decode_messages(binary::decode);
         // The wait for the rest begins anew with each message that has come whole.
         let since = caller.part.filter(|_| messages.is_empty()).or(Some(now));
-        caller.part = since.filter(|_| !caller.link.input.is_empty());
+        caller.part = since.filter(|_| !caller.link.input_buffer.is_empty());
         for message in messages {
             if !self.heard_caller(origin, message) {
                 return;
@@ -324,15 +332,15 @@
             return self.close_useless(origin, &format!("it sent {what}"));
         }
         match progress {
-            Progress::Blocked => {}
+            ReadStatus::WouldBlock => {}
             // One chunk at a time, so that a busy caller does not keep the others waiting.
-            Progress::More => self.unread.push(Unread::Caller(origin)),
-            Progress::Broken => self.close_caller(origin),
-            Progress::End => match self.driver.owes(origin) {
+            ReadStatus::MorePossible => self.unread.push(Unread::Caller(origin)),
+            ReadStatus::Failed => self.close_caller(origin),
+            ReadStatus::EndOfStream => match self.driver.owes(origin) {
                 // A caller that only finished sending still reads. Guards against one that is gone for good:
                 // this write, which means nothing, brings its reset.
                 Some(tag) => {
-                    self.callers.write(origin, &Message::new(kind::PROGRESS, tag));
+                    self.callers.write(origin, &Message::new(message_type::PROGRESS, tag));
                     self.callers.callers.entry(origin).and_modify(|c| c.ended = true);
                 }
                 None => self.close_caller(origin),
@@ -342,13 +350,13 @@
 
     /// Takes a message; false if the connection is closed over it.
     fn heard_caller(&mut self, origin: Origin, message: Message) -> bool {
-        let (now, tag) = (self.clock.now(), message.call);
+        let (now, tag) = (self.clock.now(), message.call_reference);
         let trust = self.callers.callers.get(&origin).map_or(Trust::None, |c| c.trust);
-        match message.kind {
-            kind::SET_UP => return self.heard_set_up(now, origin, &message, trust),
-            kind::RELEASE if tag != 0 => {
+        match message.message_type {
+            message_type::SET_UP => return self.heard_set_up(now, origin, &message, trust),
+            message_type::RELEASE if tag != 0 => {
                 let known = self.driver.released(now, tag);
-                self.callers.write(origin, &Message::new(kind::RELEASED, tag));
+                self.callers.write(origin, &Message::new(message_type::RELEASE_COMPLETE, tag));
                 self.callers.trust(now, origin, trust);
                 if !known && let Some(caller) = self.callers.callers.get_mut(&origin) {
                     // Guards the switches: each is told of a call that may stand with any of them.
@@ -359,14 +367,14 @@
                     }
                 }
             }
-            kind::TEST => {
+            message_type::HEALTH_CHECK => {
                 // Those that wait for the gatekeeper to be ready are bounded as the connections are.
                 if self.callers.tests.len() < self.callers.most.0 {
                     self.callers.tests.push((origin, tag));
                 }
                 self.callers.trust(now, origin, Trust::Sound);
             }
-            kind::RELEASED | kind::PROGRESS => {}
+            message_type::RELEASE_COMPLETE | message_type::PROGRESS => {}
             // From a caller that is known to make sense, a message of a later protocol.
             _ if trust == Trust::Proven => {}
             _ => {
@@ -378,7 +386,7 @@
     }
 
     fn heard_set_up(&mut self, now: Micros, origin: Origin, message: &Message, trust: Trust) -> bool {
-        let tag = message.call;
+        let tag = message.call_reference;
         let unproven = trust != Trust::Proven;
         let taken = match set_up(message) {
             Some(_) if unproven && self.driver.owed().get(&origin).is_some_and(|n| *n >= UNPROVEN) => {
@@ -418,23 +426,23 @@
 
 /// A set-up's parameters.
 fn set_up(message: &Message) -> Option<SetUp> {
-    let called = message.text(code::CALLED)?;
+    let called = message.text_parameter(parameter_code::CALLED_NUMBER)?;
     if called.is_empty() || called.len() > 64 || !called.bytes().all(|b| b.is_ascii_graphic()) {
         return None;
     }
     let mut new = SetUp {
-        tag: message.call,
-        class: message.text(code::CLASS)?.to_string(),
+        tag: message.call_reference,
+        class: message.text_parameter(parameter_code::CLASS)?.to_string(),
         called: called.to_string(),
-        left: message.text(code::LEFT)?.parse::<i64>().ok()?.saturating_mul(1000),
-        redial: message.text(code::REDIAL).is_some_and(|r| r != "0"),
+        left: message.text_parameter(parameter_code::TIME_LEFT)?.parse::<i64>().ok()?.saturating_mul(1000),
+        redial: message.text_parameter(parameter_code::REDIAL).is_some_and(|r| r != "0"),
         destination: -1,
         width: 1.0,
         via: -1,
         transit: false,
         description: None,
     };
-    for figure in message.text(code::FIGURES)?.split(';').filter(|f| !f.is_empty()) {
+    for figure in message.text_parameter(parameter_code::ROUTING)?.split(';').filter(|f| !f.is_empty()) {
         let (name, value) = figure.split_once(':')?;
         // What is no number, or none at all, must not pass as nought.
         let value = value.parse::<f64>().ok().filter(|v| v.is_finite())?;
@@ -447,7 +455,7 @@
             _ => {}
         }
     }
-    if let Some(description) = message.get(code::DESCRIPTION) {
+    if let Some(description) = message.parameter(parameter_code::SESSION_DESCRIPTION) {
         // The switches' JSON holds text only: what is no text could not be passed on unchanged.
         new.description = Some(String::from_utf8(description.to_vec()).ok()?);
     }
--- a/src/net/feed.rs
+++ b/src/net/feed.rs
@@ -1,7 +1,7 @@
 //! The control feed: the numbered events that change the list of carrier switches.
 
 use super::lines;
-use super::link::{Decoded, Link, Progress};
+use super::link::{Connection, DecodeResult, ReadStatus};
 use super::switches::Host;
 use super::{Node, Unread, log};
 use crate::call::Due;
@@ -93,7 +93,7 @@
 pub struct Feed {
     handle: LoopHandle<'static, Node>,
     address: Option<SocketAddr>,
-    link: Option<Link>,
+    link: Option<Connection>,
     /// It is up, and `SUB` has been sent.
     asked: bool,
     /// The number of the last event.
@@ -130,8 +130,8 @@
     n: u64,
 }
 
-fn decode(bytes: &[u8], most: usize) -> Decoded<Line> {
-    let Some((line, taken)) = lines::line(bytes, most)? else { return Ok(None) };
+fn decode(bytes: &[u8], most: usize) -> DecodeResult<Line> {
+    let Some((line, taken)) = lines::first_line(bytes, most)? else { return Ok(None) };
     let text = std::str::from_utf8(line).map_err(|_| "a line that is no text")?.trim();
     let alone = text.parse().or_else(|_| serde_json::from_str(text).map(|alone: Alone| alone.n));
     let line = match alone {
@@ -175,7 +175,7 @@
     fn connect_feed(&mut self) {
         let now = self.clock.now();
         let Some(address) = self.feed.address else { return };
-        match Link::connect(&self.feed.handle, address, self.feed.most, Node::feed_ready) {
+        match Connection::connect(&self.feed.handle, address, self.feed.most, Node::feed_ready) {
             Ok(link) => self.feed.link = Some(link),
             Err(e) => log(&format!("the control feed cannot be reached: {e}")),
         }
@@ -216,12 +216,12 @@
         let now = self.clock.now();
         let Some(link) = &mut self.feed.link else { return };
         if !self.feed.asked {
-            match link.connected() {
+            match link.check_connected() {
                 Ok(false) => return,
                 Ok(true) => {
                     self.feed.asked = true;
                     let ask = format!("SUB {}\n", self.feed.last);
-                    link.output().extend_from_slice(ask.as_bytes());
+                    link.output_buffer().extend_from_slice(ask.as_bytes());
                     self.set_feed_due(now + SILENCE);
                 }
                 Err(e) => return self.close_feed(&format!("could not be reached: {e}"), RETRY),
@@ -230,7 +230,7 @@
         let Some(link) = &mut self.feed.link else { return };
         let progress = link.read();
         let most = self.feed.most;
-        let (lines, result) = link.messages(|bytes| decode(bytes, most));
+        let (lines, result) = link.decode_messages(|bytes| decode(bytes, most));
         if !lines.is_empty() {
             self.set_feed_due(now + SILENCE);
         }
@@ -243,9 +243,9 @@
             return self.close_feed(&format!("sent {what}"), RETRY);
         }
         match progress {
-            Progress::Blocked => {}
-            Progress::More => self.unread.push(Unread::Feed),
-            Progress::End | Progress::Broken => self.close_feed("closed the connection", RETRY),
+            ReadStatus::WouldBlock => {}
+            ReadStatus::MorePossible => self.unread.push(Unread::Feed),
+            ReadStatus::EndOfStream | ReadStatus::Failed => self.close_feed("closed the connection", RETRY),
         }
     }
 
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// Most bytes of a message, its line feed included.
-pub const MOST: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
 /// One message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -18,32 +18,32 @@
     #[serde(default)]
     pub tag: String,
     /// Its fields.
-    #[serde(default)]
-    pub opts: BTreeMap<String, Value>,
+    #[serde(default, rename = "opts")]
+    pub fields: BTreeMap<String, Value>,
     /// The cause.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub rc: Option<u8>,
+    #[serde(default, rename = "rc", skip_serializing_if = "Option::is_none")]
+    pub result_code: Option<u8>,
     /// The description.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub blob: Option<String>,
+    #[serde(default, rename = "blob", skip_serializing_if = "Option::is_none")]
+    pub session_description: Option<String>,
 }
 
 impl Message {
     /// A message about a call.
-    pub fn new(verb: &str, call: u64) -> Self {
-        let (tag, opts) = (format!("{call:016x}"), BTreeMap::new());
-        Message { verb: verb.to_string(), tag, opts, rc: None, blob: None }
+    pub fn new(verb: &str, call_reference: u64) -> Self {
+        let (tag, fields) = (format!("{call_reference:016x}"), BTreeMap::new());
+        Message { verb: verb.to_string(), tag, fields, result_code: None, session_description: None }
     }
 
     /// The call that it is about.
-    pub fn call(&self) -> Option<u64> {
+    pub fn call_reference(&self) -> Option<u64> {
         let hex = self.tag.len() == 16 && self.tag.bytes().all(|b| b.is_ascii_hexdigit());
         if hex { u64::from_str_radix(&self.tag, 16).ok() } else { None }
     }
 
     /// A field's text; fields are strings or numbers.
-    pub fn field(&self, name: &str) -> Option<String> {
-        match self.opts.get(name)? {
+    pub fn field_text(&self, name: &str) -> Option<String> {
+        match self.fields.get(name)? {
             Value::String(s) => Some(s.clone()),
             Value::Number(n) => Some(n.to_string()),
             _ => None,
@@ -51,9 +51,9 @@
     }
 
     /// The report that it carries, such as `x0:12;x1:40;queue:3`.
-    pub fn report(&self) -> Report {
+    pub fn load_report(&self) -> Report {
         let mut report = Report::default();
-        for pair in self.field("load").unwrap_or_default().split(';') {
+        for pair in self.field_text("load").unwrap_or_default().split(';') {
             if let Some((name, value)) = pair.split_once(':')
                 && let Ok(value) = value.trim().parse()
             {
@@ -64,14 +64,14 @@
     }
 
     /// What the switch notes of a release.
-    pub fn note(&self) -> Cause {
-        match self.field("note").as_deref() {
+    pub fn release_reason(&self) -> Cause {
+        match self.field_text("note").as_deref() {
             Some("atb") => Cause::NoCircuit,
             Some("rtb") => Cause::TurnedBack,
             Some("racc") => Cause::FullBeyond,
             Some("sub") => Cause::NumberBusy,
             Some("acc") => {
-                let waited = self.field("waited").and_then(|w| w.parse::<f64>().ok()).unwrap_or(0.0);
+                let waited = self.field_text("waited").and_then(|w| w.parse::<f64>().ok()).unwrap_or(0.0);
                 // Out-of-range floats saturate, and what is no number becomes 0.
                 Cause::ProcessorFull((waited.clamp(0.0, 1e9) * 1000.0) as i64)
             }
@@ -84,7 +84,7 @@
         let start = out.len();
         let written = serde_json::to_writer(&mut *out, self).is_ok();
         out.push(b'\n');
-        let fits = written && out.len() - start <= MOST;
+        let fits = written && out.len() - start <= MAX_MESSAGE_BYTES;
         if !fits {
             out.truncate(start);
         }
@@ -97,7 +97,7 @@
 ///
 /// # Errors
 /// The line is longer than `most`.
-pub fn line(bytes: &[u8], most: usize) -> Result<Option<(&[u8], usize)>, &'static str> {
+pub fn first_line(bytes: &[u8], most: usize) -> Result<Option<(&[u8], usize)>, &'static str> {
     match bytes.iter().position(|b| *b == b'\n') {
         Some(end) if end < most => Ok(bytes.get(..end).map(|line| (line, end + 1))),
         None if bytes.len() < most => Ok(None),
@@ -110,7 +110,7 @@
 /// # Errors
 /// What is wrong with it.
 pub fn decode(bytes: &[u8]) -> Result<Option<(Message, usize)>, &'static str> {
-    match line(bytes, MOST)? {
+    match first_line(bytes, MAX_MESSAGE_BYTES)? {
         Some((line, taken)) => {
             let message = serde_json::from_slice(line).map_err(|_| "a line that holds no message")?;
             Ok(Some((message, taken)))
@@ -132,8 +132,11 @@
             assert_eq!(decode(&text.as_bytes()[..n]), Ok(None));
         }
         let (message, taken) = decode(text.as_bytes()).unwrap().unwrap();
-        assert_eq!((message.call(), message.rc, taken), (Some(0x9b1f_03aa_5c7e_2d41), Some(34), end));
-        assert_eq!(message.field("waited").as_deref(), Some("12"));
+        assert_eq!(
+            (message.call_reference(), message.result_code, taken),
+            (Some(0x9b1f_03aa_5c7e_2d41), Some(34), end)
+        );
+        assert_eq!(message.field_text("waited").as_deref(), Some("12"));
     }
 
     #[test]
@@ -142,11 +145,17 @@
             let text = format!("{{\"verb\":\"FINISH\",\"tag\":\"\",\"opts\":{opts}}}\n");
             decode(text.as_bytes()).unwrap().unwrap().0
         };
-        assert_eq!(read(r#"{"note":"acc","waited":"1200"}"#).note(), Cause::ProcessorFull(1_200_000));
-        assert_eq!(read(r#"{"note":"acc","waited":1e300}"#).note(), Cause::ProcessorFull(1_000_000_000_000));
-        assert_eq!(read(r#"{"note":"racc"}"#).note(), Cause::FullBeyond);
-        assert_eq!(read(r#"{"note":"odd"}"#).note(), Cause::None);
-        let report = read(r#"{"load":"x0:12;x1:40;queue:3;x9:1;bad"}"#).report();
+        assert_eq!(
+            read(r#"{"note":"acc","waited":"1200"}"#).release_reason(),
+            Cause::ProcessorFull(1_200_000)
+        );
+        assert_eq!(
+            read(r#"{"note":"acc","waited":1e300}"#).release_reason(),
+            Cause::ProcessorFull(1_000_000_000_000)
+        );
+        assert_eq!(read(r#"{"note":"racc"}"#).release_reason(), Cause::FullBeyond);
+        assert_eq!(read(r#"{"note":"odd"}"#).release_reason(), Cause::None);
+        let report = read(r#"{"load":"x0:12;x1:40;queue:3;x9:1;bad"}"#).load_report();
         assert_eq!((report.free, report.size, report.waiting), (Some(12.0), Some(40.0), Some(3.0)));
     }
 
@@ -154,17 +163,20 @@
     fn malformed_and_overlong_lines_are_errors() {
         assert!(decode(b"{]\n").is_err() && decode(b"7\n").is_err());
         assert!(decode(b"{\"verb\":\"FINISH\",\"tag\":\"\",\"rc\":300}\n").is_err());
-        let long = vec![b' '; MOST];
+        let long = vec![b' '; MAX_MESSAGE_BYTES];
         assert!(decode(&long).is_err() && decode(&long[1..]) == Ok(None));
         for tag in ["", "9b1f", "+b1f03aa5c7e2d41", "9b1f03aa5c7e2d411"] {
-            assert_eq!(Message { tag: tag.into(), ..Message::new("START", 1) }.call(), None);
+            assert_eq!(Message { tag: tag.into(), ..Message::new("START", 1) }.call_reference(), None);
         }
     }
 
     #[test]
     fn a_message_that_grows_too_long_by_escaping_is_not_written() {
         let mut out = b"before".to_vec();
-        let message = Message { blob: Some("\n".repeat(MOST / 2)), ..Message::new("START", 1) };
+        let message = Message {
+            session_description: Some("\n".repeat(MAX_MESSAGE_BYTES / 2)),
+            ..Message::new("START", 1)
+        };
         assert!(!message.encode(&mut out));
         assert_eq!(out, b"before");
     }
@@ -174,12 +186,14 @@
         let mut whole = Vec::new();
         let opts = [("note", "acc"), ("waited", "12"), ("load", "x0:12;x1:40;latency_ms:3.5")];
         let opts = opts.map(|(k, v)| (k.to_string(), Value::from(v))).into();
-        assert!(Message { opts, rc: Some(34), ..Message::new("FINISH", 7) }.encode(&mut whole));
+        assert!(
+            Message { fields: opts, result_code: Some(34), ..Message::new("FINISH", 7) }.encode(&mut whole)
+        );
         let (mut read, mut refused) = (0, 0);
-        crate::net::mangled(&whole, |bytes| match decode(bytes) {
+        crate::net::for_each_mutation(&whole, |bytes| match decode(bytes) {
             Ok(Some((message, taken))) => {
                 assert!(taken <= bytes.len());
-                let _ = (message.call(), message.note(), message.report());
+                let _ = (message.call_reference(), message.release_reason(), message.load_report());
                 read += 1;
             }
             Ok(None) => {}
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -13,30 +13,30 @@
 
 /// What a read came to.
 #[derive(Debug, PartialEq)]
-pub enum Progress {
+pub enum ReadStatus {
     /// There may be more to read.
-    More,
+    MorePossible,
     /// Nothing more for now.
-    Blocked,
+    WouldBlock,
     /// The peer has finished sending.
-    End,
+    EndOfStream,
     /// The connection is broken.
-    Broken,
+    Failed,
 }
 
-/// A connection. The loop has a handle of the same socket only while it is registered: [`Link::close`] is the
-/// one place where both are given back.
-pub struct Link {
+/// A connection. The loop has a handle of the same socket only while it is registered:
+/// [`Connection::close`] is the one place where both are given back.
+pub struct Connection {
     stream: Rc<TcpStream>,
     token: RegistrationToken,
     /// What has come and is not read yet.
-    pub input: Vec<u8>,
+    pub input_buffer: Vec<u8>,
     output: Vec<u8>,
     /// Most bytes that wait for a peer that does not read.
     most_unsent: usize,
 }
 
-impl Link {
+impl Connection {
     /// Puts a socket into the loop. The callback runs when there is something to read or room to write.
     pub fn new(
         handle: &LoopHandle<'static, Node>, stream: TcpStream, most_unsent: usize,
@@ -53,10 +53,10 @@
                 Ok(PostAction::Continue)
             })
             .map_err(|e| io::Error::other(e.to_string()))?;
-        Ok(Link { stream, token, input: vec![], output: vec![], most_unsent })
+        Ok(Connection { stream, token, input_buffer: vec![], output: vec![], most_unsent })
     }
 
-    /// Starts to connect; [`Link::connected`] tells how that went.
+    /// Starts to connect; [`Connection::check_connected`] tells how that went.
     pub fn connect(
         handle: &LoopHandle<'static, Node>, to: SocketAddr, most_unsent: usize,
         callback: impl Fn(&mut Node) + 'static,
@@ -67,11 +67,11 @@
             Err(e) if !in_progress(&e) => return Err(e),
             _ => {}
         }
-        Link::new(handle, socket.into(), most_unsent, callback)
+        Connection::new(handle, socket.into(), most_unsent, callback)
     }
 
     /// Whether a connection that was being set up has come up.
-    pub fn connected(&self) -> io::Result<bool> {
+    pub fn check_connected(&self) -> io::Result<bool> {
         if let Some(e) = self.stream.take_error()? {
             return Err(e);
         }
@@ -83,7 +83,7 @@
     }
 
     /// Reads what is there, a chunk at most.
-    pub fn read(&mut self) -> Progress {
+    pub fn read(&mut self) -> ReadStatus {
         // What is kept of a message in parts is as long as its parts: many peers may leave theirs unfinished.
         let mut chunk = [0; CHUNK];
         let result = loop {
@@ -92,22 +92,22 @@
                 other => break other,
             }
         };
-        self.input.extend_from_slice(chunk.get(..*result.as_ref().unwrap_or(&0)).unwrap_or_default());
+        self.input_buffer.extend_from_slice(chunk.get(..*result.as_ref().unwrap_or(&0)).unwrap_or_default());
         match result {
-            Ok(0) => Progress::End,
-            Ok(_) => Progress::More,
-            Err(e) if e.kind() == ErrorKind::WouldBlock => Progress::Blocked,
-            Err(_) => Progress::Broken,
+            Ok(0) => ReadStatus::EndOfStream,
+            Ok(_) => ReadStatus::MorePossible,
+            Err(e) if e.kind() == ErrorKind::WouldBlock => ReadStatus::WouldBlock,
+            Err(_) => ReadStatus::Failed,
         }
     }
 
     /// The messages that have come whole, by a codec's `decode`; what has come of the next one stays.
-    pub fn messages<M>(
-        &mut self, decode: impl Fn(&[u8]) -> Decoded<M>,
+    pub fn decode_messages<M>(
+        &mut self, decode: impl Fn(&[u8]) -> DecodeResult<M>,
     ) -> (Vec<M>, Result<(), &'static str>) {
         let (mut messages, mut taken) = (Vec::new(), 0);
         let result = loop {
-            match decode(self.input.get(taken..).unwrap_or_default()) {
+            match decode(self.input_buffer.get(taken..).unwrap_or_default()) {
                 Ok(Some((message, n))) => {
                     messages.push(message);
                     taken += n;
@@ -116,13 +116,13 @@
                 Err(what) => break Err(what),
             }
         };
-        self.input.drain(..taken);
-        self.input.shrink_to_fit();
+        self.input_buffer.drain(..taken);
+        self.input_buffer.shrink_to_fit();
         (messages, result)
     }
 
-    /// Where to append what is to be written; [`Link::flush`] writes it.
-    pub fn output(&mut self) -> &mut Vec<u8> {
+    /// Where to append what is to be written; [`Connection::flush`] writes it.
+    pub fn output_buffer(&mut self) -> &mut Vec<u8> {
         &mut self.output
     }
 
@@ -166,7 +166,7 @@
 }
 
 /// What a codec reads: the first message and its length, or `None` if it has not come whole.
-pub type Decoded<M> = Result<Option<(M, usize)>, &'static str>;
+pub type DecodeResult<M> = Result<Option<(M, usize)>, &'static str>;
 
 fn in_progress(e: &io::Error) -> bool {
     // EINPROGRESS has no stable kind of its own.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -83,7 +83,7 @@
 impl Budget {
     fn new(sockets: usize, memory: usize) -> Self {
         let callers = (sockets - sockets / 4).max(8);
-        let caller_unsent = (memory / 8 / callers).max(2 * binary::MOST);
+        let caller_unsent = (memory / 8 / callers).max(2 * binary::MAX_MESSAGE_BYTES);
         Budget { callers, caller_unsent, peer: memory / 64, calls: memory / 8192, descriptions: memory / 8 }
     }
 }
@@ -370,7 +370,7 @@
 /// For tests of the codecs: a message with bytes changed and sometimes cut short, in 20,000 ways. Whatever comes,
 /// they must not panic, for that would end the program.
 #[cfg(test)]
-fn mangled(whole: &[u8], mut each: impl FnMut(&[u8])) {
+fn for_each_mutation(whole: &[u8], mut each: impl FnMut(&[u8])) {
     use rand_core::{RngCore, SeedableRng};
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(1);
     for _ in 0..20_000 {
@@ -396,7 +396,7 @@
             // Usual callers hold a third; switches, the feed and the program itself need the rest.
             assert!(budget.callers > sockets / 3 && sockets - budget.callers >= 64);
             let unsent = budget.callers * budget.caller_unsent + 9 * budget.peer;
-            assert!(budget.caller_unsent >= binary::MOST);
+            assert!(budget.caller_unsent >= binary::MAX_MESSAGE_BYTES);
             assert!(unsent + budget.calls * 1024 + budget.descriptions < memory * 3 / 4, "{memory_mb} MB");
         }
     }
--- a/src/net/switches.rs
+++ b/src/net/switches.rs
@@ -2,7 +2,7 @@
 //! lines are spoken.
 
 use super::lines::{self, Message};
-use super::link::{Link, Progress};
+use super::link::{Connection, ReadStatus};
 use super::{Node, Unread, log};
 use crate::call::{Due, Release, Tag, cause};
 use crate::interface::{Cause, ExchangeId, Health, Micros, Number, Report};
@@ -30,14 +30,14 @@
     /// No connection; the next is tried then.
     Closed { retry_at: Micros },
     /// A connection is being set up until then.
-    Connecting { link: Link, until: Micros },
+    Connecting { link: Connection, until: Micros },
     /// A connection is open.
     Open(Open),
 }
 
 /// An open connection.
 struct Open {
-    link: Link,
+    link: Connection,
     since: Micros,
     /// When the last word about a call was spoken on it.
     used: Micros,
@@ -48,14 +48,14 @@
 }
 
 impl Open {
-    fn new(link: Link, now: Micros) -> Self {
+    fn new(link: Connection, now: Micros) -> Self {
         Open { link, since: now, used: now, asked: None, served: false }
     }
 }
 
 /// A second connection to a silent switch.
 struct Trial {
-    link: Link,
+    link: Connection,
     since: Micros,
     until: Micros,
     up: bool,
@@ -65,7 +65,7 @@
 
 /// A connection that a second one has replaced.
 struct Retired {
-    link: Link,
+    link: Connection,
     at: Micros,
 }
 
@@ -166,7 +166,7 @@
     /// Writes to an open connection; false if there is none.
     fn write(&mut self, id: ExchangeId, message: &Message) -> bool {
         match self.switches.get_mut(&id).map(|s| &mut s.state) {
-            Some(State::Open(open)) => message.encode(open.link.output()),
+            Some(State::Open(open)) => message.encode(open.link.output_buffer()),
             _ => false,
         }
     }
@@ -196,7 +196,7 @@
 
     /// Probes a switch.
     pub fn probe(&mut self, id: ExchangeId, tag: Tag) {
-        self.write(id, &Message { rc: Some(0), ..Message::new("ECHO", tag) });
+        self.write(id, &Message { result_code: Some(0), ..Message::new("ECHO", tag) });
     }
 
     /// Writes what waits; returns the connections that broke.
@@ -318,7 +318,7 @@
         if let State::Open(open) = &mut switch.state {
             open.used = now;
             open.asked.get_or_insert(now);
-            if !left(&mut message, until - now).encode(open.link.output()) {
+            if !left(&mut message, until - now).encode(open.link.output_buffer()) {
                 log(&format!("set-up {tag:016x} is too long to be passed on"));
                 let release =
                     Release { cause: cause::UNAVAILABLE, note: Cause::None, report: Report::default() };
@@ -337,7 +337,7 @@
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
         let State::Closed { .. } = switch.state else { return };
         let Some(address) = switch.host.address.filter(|_| switch.wanted()) else { return };
-        match Link::connect(&self.switches.handle, address, self.switches.most_unsent, move |node| {
+        match Connection::connect(&self.switches.handle, address, self.switches.most_unsent, move |node| {
             node.switch_ready(id)
         }) {
             Ok(link) => {
@@ -403,7 +403,7 @@
         let Some(address) = switch.host.address else { return };
         let until = now + self.switches.connect_timeout;
         let most = self.switches.most_unsent;
-        match Link::connect(&self.switches.handle, address, most, move |node| node.switch_ready(id)) {
+        match Connection::connect(&self.switches.handle, address, most, move |node| node.switch_ready(id)) {
             Ok(link) => switch.trial = Some(Trial { link, since: now, until, up: false, spoke: None }),
             Err(e) => log(&format!("switch {} refuses a new connection: {e}", switch.host.name)),
         }
@@ -456,7 +456,7 @@
         let now = self.clock.now();
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
         if let Some(trial) = &mut switch.trial {
-            match trial.link.connected() {
+            match trial.link.check_connected() {
                 Ok(false) => {}
                 Ok(true) => {
                     if !trial.up {
@@ -485,10 +485,10 @@
     /// Takes what a connection has said; false if it is over.
     fn heard_lines(&mut self, now: Micros, id: ExchangeId, (messages, result, progress): Said) -> bool {
         let result = messages.into_iter().try_for_each(|m| self.heard_switch(now, id, m)).and(result);
-        if progress == Progress::More {
+        if progress == ReadStatus::MorePossible {
             self.unread.push(Unread::Switch(id));
         }
-        result.is_ok() && !matches!(progress, Progress::End | Progress::Broken)
+        result.is_ok() && !matches!(progress, ReadStatus::EndOfStream | ReadStatus::Failed)
     }
 
     /// Drops the connection to a switch, if there is one, and with it what was open on it.
@@ -540,7 +540,7 @@
         let now = self.clock.now();
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
         if let State::Connecting { link, .. } = &switch.state {
-            match link.connected() {
+            match link.check_connected() {
                 Ok(false) => return,
                 Ok(true) => self.link_up(id),
                 Err(e) => return self.not_connected(id, &e.to_string()),
@@ -561,10 +561,10 @@
             return self.close_link(id, now + RETRY.0);
         }
         match progress {
-            Progress::Blocked => {}
-            Progress::More => self.unread.push(Unread::Switch(id)),
-            Progress::End | Progress::Broken => {
-                let how = if progress == Progress::End { "closed" } else { "reset" };
+            ReadStatus::WouldBlock => {}
+            ReadStatus::MorePossible => self.unread.push(Unread::Switch(id)),
+            ReadStatus::EndOfStream | ReadStatus::Failed => {
+                let how = if progress == ReadStatus::EndOfStream { "closed" } else { "reset" };
                 log(&format!("switch {name}: the connection was {how}"));
                 self.close_link(id, now);
             }
@@ -596,22 +596,22 @@
             (switch.heard, switch.last_heard) = (true, now);
         }
         if message.verb == "LOAD" {
-            self.driver.state(id, message.report());
+            self.driver.state(id, message.load_report());
             return Ok(());
         }
-        let tag = message.call().ok_or("a message about no call")?;
+        let tag = message.call_reference().ok_or("a message about no call")?;
         if let Some(State::Open(open)) = self.switches.switches.get_mut(&id).map(|s| &mut s.state) {
             open.used = now;
         }
         match message.verb.as_str() {
-            "STARTED" => self.driver.stands(now, id, tag, message.blob),
+            "STARTED" => self.driver.stands(now, id, tag, message.session_description),
             "FINISH" => {
-                let (note, report) = (message.note(), message.report());
-                let cause = message.rc.ok_or("a release without a cause")?;
+                let (note, report) = (message.release_reason(), message.load_report());
+                let cause = message.result_code.ok_or("a release without a cause")?;
                 self.driver.ended(now, id, tag, Release { cause, note, report });
                 self.switches.write(id, &Message::new("FINISHED", tag));
             }
-            "ECHOED" => self.driver.probed(now, tag, message.rc == Some(1), message.report()),
+            "ECHOED" => self.driver.probed(now, tag, message.result_code == Some(1), message.load_report()),
             _ => {}
         }
         Ok(())
@@ -619,11 +619,11 @@
 }
 
 /// What was read at a time: the messages, what is wrong with what follows them, and how the reading went.
-type Said = (Vec<Message>, Result<(), &'static str>, Progress);
+type Said = (Vec<Message>, Result<(), &'static str>, ReadStatus);
 
-fn read_lines(link: &mut Link) -> Said {
+fn read_lines(link: &mut Connection) -> Said {
     let progress = link.read();
-    let (messages, result) = link.messages(lines::decode);
+    let (messages, result) = link.decode_messages(lines::decode);
     (messages, result, progress)
 }
 
@@ -634,20 +634,20 @@
 
 /// Gives a set-up up, or releases a call.
 fn finish(tag: Tag) -> Message {
-    Message { rc: Some(cause::NORMAL), ..Message::new("FINISH", tag) }
+    Message { result_code: Some(cause::NORMAL), ..Message::new("FINISH", tag) }
 }
 
 /// A set-up with the time that is left for it, in whole milliseconds.
 fn left(message: &mut Message, left: Micros) -> &Message {
-    message.opts.insert("left".into(), (left / 1000).max(1).to_string().into());
+    message.fields.insert("left".into(), (left / 1000).max(1).to_string().into());
     message
 }
 
 /// The set-up of a call.
 pub fn set_up(tag: Tag, class: String, called: String, description: Option<String>) -> Message {
-    let mut message = Message { blob: description, ..Message::new("START", tag) };
-    message.opts.insert("class".into(), class.into());
-    message.opts.insert("key".into(), called.into());
+    let mut message = Message { session_description: description, ..Message::new("START", tag) };
+    message.fields.insert("class".into(), class.into());
+    message.fields.insert("key".into(), called.into());
     message
 }
 
@@ -667,7 +667,7 @@
     fn a_set_up_names_the_time_that_is_left_in_whole_milliseconds() {
         let mut message = set_up(7, "check".into(), "12".into(), None);
         for (span, text) in [(1_500_900, "1500"), (900, "1"), (-5_000, "1")] {
-            assert_eq!(left(&mut message, span).field("left").as_deref(), Some(text));
+            assert_eq!(left(&mut message, span).field_text("left").as_deref(), Some(text));
         }
     }
 }
