--- a/src/net/binary.rs
+++ b/src/net/binary.rs
@@ -1,95 +1,104 @@
-//! The binary messages that callers speak: pure and incremental.
+//! Encoder and incremental decoder of the binary messages exchanged with callers. Does no I/O.
 //!
-//! `length:2 type:1 call:8 parameters`, a parameter being `code:1 length:2 value`; all big-endian. The length
-//! counts what follows it.
+//! Layout: `length:2 type:1 call_reference:8 parameters`, where each parameter is `code:1 length:2 value`.
+//! All integers are big-endian. Each length counts the bytes that follow it.
 
-/// Most bytes of a message, its length included.
+/// Maximum size of an encoded message, including its length field.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
-/// Types of message.
+/// Size of a message's length field.
+const LENGTH_FIELD_BYTES: usize = 2;
+/// Size of the fields that every message has after its length: the type and the call reference.
+const FIXED_FIELDS_BYTES: usize = 9;
+/// Size of a parameter's code and length.
+const PARAMETER_HEADER_BYTES: usize = 3;
+
+/// Message types.
 pub mod message_type {
-    /// A set-up, with a description.
+    /// Set-up of a call; may carry a session description.
     pub const SET_UP: u8 = 1;
-    /// Progress; it means nothing.
+    /// Progress of a set-up; carries no information and is ignored on receipt.
     pub const PROGRESS: u8 = 6;
-    /// An answer, with a description.
+    /// Answer to a set-up; may carry a session description.
     pub const ANSWER: u8 = 9;
-    /// A refusal, a give-up or a release, with a cause.
+    /// Rejection of a set-up, withdrawal of a set-up, or release of a call; carries a cause.
     pub const RELEASE: u8 = 12;
-    /// A release was heard.
+    /// Acknowledgement of a release.
     pub const RELEASE_COMPLETE: u8 = 16;
-    /// A test.
+    /// Health check of the gatekeeper, sent by a caller.
     pub const HEALTH_CHECK: u8 = 52;
-    /// The outcome of a test.
+    /// Result of a health check; the cause parameter holds 1 (passed) or 0 (failed).
     pub const HEALTH_CHECK_RESULT: u8 = 53;
 }
 
-/// Codes of parameters.
+/// Parameter codes.
 pub mod parameter_code {
-    /// The class of call.
+    /// Class of call.
     pub const CLASS: u8 = 180;
-    /// How long the caller waits, in milliseconds.
+    /// How long the caller will wait for an answer, in milliseconds, as decimal text.
     pub const TIME_LEFT: u8 = 182;
-    /// Marks a caller's retry.
+    /// Marks a redial by the caller; the value `0` means that it is none.
     pub const REDIAL: u8 = 186;
-    /// The number called.
+    /// Number called.
     pub const CALLED_NUMBER: u8 = 188;
-    /// The figures of a set-up.
+    /// Routing attributes of a set-up as text, such as `dest:1;width:2`.
     pub const ROUTING: u8 = 190;
-    /// For how long to stay away, in milliseconds.
+    /// Back-off that the caller is asked to keep, in milliseconds, as decimal text.
     pub const BACK_OFF: u8 = 192;
-    /// The cause, one byte.
+    /// Q.850 cause, one byte; in a health check result, 1 or 0.
     pub const CAUSE: u8 = 208;
-    /// The description.
+    /// Session description.
     pub const SESSION_DESCRIPTION: u8 = 210;
 }
 
 /// A parameter of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Parameter {
-    /// One of [`parameter_code`], or a code unknown here.
+    /// One of [`parameter_code`], or any other code that was received.
     pub code: u8,
-    /// The bytes of its value.
+    /// Undecoded value.
     pub value: Vec<u8>,
 }
 
-/// One message.
+/// A message to or from a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Its type.
+    /// One of [`message_type`], or any other type that was received.
     pub message_type: u8,
-    /// The call that it is about.
+    /// Identifier of the call on the wire.
     pub call_reference: u64,
-    /// Its parameters, in order.
+    /// Parameters in the order of the message.
     pub parameters: Vec<Parameter>,
 }
 
 impl Message {
-    /// A message without parameters.
+    /// Creates a message without parameters.
     pub fn new(message_type: u8, call_reference: u64) -> Self {
         Message { message_type, call_reference, parameters: vec![] }
     }
 
-    /// The same with one more parameter.
+    /// Appends a parameter.
     pub fn with_parameter(mut self, code: u8, value: impl Into<Vec<u8>>) -> Self {
         self.parameters.push(Parameter { code, value: value.into() });
         self
     }
 
-    /// The value of a parameter.
+    /// Returns the value of the first parameter with this code.
     pub fn parameter(&self, code: u8) -> Option<&[u8]> {
         self.parameters.iter().find(|p| p.code == code).map(|p| p.value.as_slice())
     }
 
-    /// The value of a parameter that is text.
+    /// Returns the value of the first parameter with this code, if it is UTF-8 text.
     pub fn text_parameter(&self, code: u8) -> Option<&str> {
         self.parameter(code).and_then(|v| std::str::from_utf8(v).ok())
     }
 
-    /// Appends the message's bytes, or nothing if it is longer than a message may be.
+    /// Appends the encoded message to `out`. Returns false, and appends nothing, if the message would exceed
+    /// [`MAX_MESSAGE_BYTES`].
     pub fn encode(&self, out: &mut Vec<u8>) -> bool {
-        let length = 9 + self.parameters.iter().map(|p| 3 + p.value.len()).sum::<usize>();
-        if length + 2 > MAX_MESSAGE_BYTES {
+        let length = FIXED_FIELDS_BYTES
+            + self.parameters.iter().map(|p| PARAMETER_HEADER_BYTES + p.value.len()).sum::<usize>();
+        if length + LENGTH_FIELD_BYTES > MAX_MESSAGE_BYTES {
             return false;
         }
         out.extend_from_slice(&(length as u16).to_be_bytes());
@@ -104,37 +113,40 @@
     }
 }
 
-/// Takes so many bytes off the front.
-fn split<'a>(bytes: &mut &'a [u8], n: usize) -> Option<&'a [u8]> {
-    let (front, rest) = bytes.split_at_checked(n)?;
+/// Removes `count` bytes from the front of `bytes` and returns them; `None` if there are fewer.
+fn take_bytes<'a>(bytes: &mut &'a [u8], count: usize) -> Option<&'a [u8]> {
+    let (front, rest) = bytes.split_at_checked(count)?;
     *bytes = rest;
     Some(front)
 }
 
-fn number(bytes: &mut &[u8], n: usize) -> Option<u64> {
-    Some(split(bytes, n)?.iter().fold(0, |sum, b| sum << 8 | u64::from(*b)))
+/// Removes a big-endian integer of `size` bytes from the front of `bytes`.
+fn take_integer(bytes: &mut &[u8], size: usize) -> Option<u64> {
+    Some(take_bytes(bytes, size)?.iter().fold(0, |sum, b| sum << 8 | u64::from(*b)))
 }
 
-/// Reads the first message and how many bytes it takes; `None` if it has not come whole.
+/// Decodes the first message in `bytes`. Returns it with its encoded size, or `None` if it is incomplete.
 ///
 /// # Errors
-/// What is wrong with it; nothing after it can be read.
+/// Describes what is malformed; nothing that follows can be decoded.
 pub fn decode(mut bytes: &[u8]) -> Result<Option<(Message, usize)>, &'static str> {
-    let Some(length) = number(&mut bytes, 2).map(|n| n as usize) else { return Ok(None) };
-    if !(9..=MAX_MESSAGE_BYTES - 2).contains(&length) {
-        return Err("a length that no message has");
+    let Some(length) = take_integer(&mut bytes, LENGTH_FIELD_BYTES).map(|length| length as usize) else {
+        return Ok(None);
+    };
+    if !(FIXED_FIELDS_BYTES..=MAX_MESSAGE_BYTES - LENGTH_FIELD_BYTES).contains(&length) {
+        return Err("a message length out of range");
     }
-    let Some(mut body) = split(&mut bytes, length) else { return Ok(None) };
-    let short = "a parameter longer than its message";
-    let message_type = number(&mut body, 1).ok_or(short)? as u8;
-    let mut message = Message::new(message_type, number(&mut body, 8).ok_or(short)?);
+    let Some(mut body) = take_bytes(&mut bytes, length) else { return Ok(None) };
+    let overrun = "a parameter that runs past the end of its message";
+    let message_type = take_integer(&mut body, 1).ok_or(overrun)? as u8;
+    let mut message = Message::new(message_type, take_integer(&mut body, 8).ok_or(overrun)?);
     while !body.is_empty() {
-        let code = number(&mut body, 1).ok_or(short)? as u8;
-        let n = number(&mut body, 2).ok_or(short)? as usize;
-        let value = split(&mut body, n).ok_or(short)?.to_vec();
+        let code = take_integer(&mut body, 1).ok_or(overrun)? as u8;
+        let value_length = take_integer(&mut body, 2).ok_or(overrun)? as usize;
+        let value = take_bytes(&mut body, value_length).ok_or(overrun)?.to_vec();
         message.parameters.push(Parameter { code, value });
     }
-    Ok(Some((message, length + 2)))
+    Ok(Some((message, length + LENGTH_FIELD_BYTES)))
 }
 
 #[cfg(test)]
@@ -142,62 +154,61 @@
     use super::*;
 
     #[test]
-    fn a_message_is_read_only_once_it_is_whole_and_survives_the_round_trip() {
+    fn incomplete_messages_are_not_decoded_and_complete_ones_round_trip() {
         let message = Message::new(message_type::SET_UP, 0x9b1f_03aa_5c7e_2d41)
             .with_parameter(parameter_code::CLASS, "voice")
             .with_parameter(parameter_code::SESSION_DESCRIPTION, vec![0, 255, 13]);
         let mut bytes = Vec::new();
         assert!(message.encode(&mut bytes));
-        for n in 0..bytes.len() {
-            assert_eq!(decode(&bytes[..n]), Ok(None), "{n} bytes");
+        for length in 0..bytes.len() {
+            assert_eq!(decode(&bytes[..length]), Ok(None), "{length} bytes");
         }
         bytes.push(7);
         assert_eq!(decode(&bytes), Ok(Some((message, bytes.len() - 1))));
     }
 
     #[test]
-    fn the_longest_message_passes_and_a_longer_one_does_not() {
+    fn messages_up_to_the_size_limit_are_accepted_and_larger_ones_are_not() {
         let mut bytes = Vec::new();
-        assert!(
-            Message::new(1, 2).with_parameter(210, vec![b'x'; MAX_MESSAGE_BYTES - 14]).encode(&mut bytes)
-        );
+        let largest = Message::new(1, 2).with_parameter(210, vec![b'x'; MAX_MESSAGE_BYTES - 14]);
+        assert!(largest.encode(&mut bytes));
         assert_eq!(bytes.len(), MAX_MESSAGE_BYTES);
         assert!(matches!(decode(&bytes), Ok(Some((_, MAX_MESSAGE_BYTES)))));
-        assert!(
-            !Message::new(1, 2).with_parameter(210, vec![b'x'; MAX_MESSAGE_BYTES - 13]).encode(&mut bytes)
-        );
+        let oversized = Message::new(1, 2).with_parameter(210, vec![b'x'; MAX_MESSAGE_BYTES - 13]);
+        assert!(!oversized.encode(&mut bytes));
         assert_eq!(bytes.len(), MAX_MESSAGE_BYTES, "nothing was appended");
         assert!(decode(&[0x40, 0]).is_err());
     }
 
     #[test]
-    fn malformed_messages_are_errors() {
-        assert!(decode(&[0, 8]).is_err(), "too short for a call");
-        let cut = [&[0, 12, 1][..], &[0; 8], &[180, 0, 1]].concat();
-        assert!(decode(&cut).is_err(), "a parameter beyond the end");
-        let stub = [&[0, 10, 1][..], &[0; 8], &[180]].concat();
-        assert!(decode(&stub).is_err(), "a parameter without a length");
+    fn malformed_messages_are_rejected() {
+        assert!(decode(&[0, 8]).is_err(), "too short for the type and the call reference");
+        let overlong_value = [&[0, 12, 1][..], &[0; 8], &[180, 0, 1]].concat();
+        assert!(decode(&overlong_value).is_err(), "a parameter value past the end of the message");
+        let missing_length = [&[0, 10, 1][..], &[0; 8], &[180]].concat();
+        assert!(decode(&missing_length).is_err(), "a parameter without a length");
     }
 
     #[test]
-    fn whatever_bytes_come_they_are_read_or_refused() {
-        let mut whole = Vec::new();
+    fn mutated_messages_are_decoded_or_rejected_without_a_panic() {
+        let mut encoded = Vec::new();
         let message = Message::new(message_type::SET_UP, 7)
             .with_parameter(parameter_code::CLASS, "check")
             .with_parameter(parameter_code::CAUSE, [34]);
-        assert!(message.encode(&mut whole));
-        let (mut read, mut refused) = (0, 0);
-        crate::net::for_each_mutation(&whole, |bytes| match decode(bytes) {
-            Ok(Some((message, taken))) => {
-                assert!(taken <= bytes.len());
-                let mut again = Vec::new();
-                assert!(message.encode(&mut again));
-                assert_eq!(again, bytes[..taken]);
-                read += 1;
+        assert!(message.encode(&mut encoded));
+        let mut decoded = 0;
+        let mut rejected = 0;
+        crate::net::for_each_mutation(&encoded, |bytes| match decode(bytes) {
+            Ok(Some((message, size))) => {
+                assert!(size <= bytes.len());
+                let mut reencoded = Vec::new();
+                assert!(message.encode(&mut reencoded));
+                assert_eq!(reencoded, bytes[..size]);
+                decoded += 1;
             }
             Ok(None) => {}
-            Err(_) => refused += 1,
+            Err(_) => rejected += 1,
         });
-        assert!(read > 1000 && refused > 1000, "{read} read, {refused} refused");
+        assert!(decoded > 1000 && rejected > 1000, "{decoded} decoded, {rejected} rejected");
     }
 }
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -1,4 +1,4 @@
-//! The JSON lines that carrier switches speak: pure and incremental.
+//! Encoder and incremental decoder of the JSON lines exchanged with carrier switches. Does no I/O.
 
 use crate::interface::{Cause, Report};
 use crate::settings::set_report;
@@ -6,55 +6,62 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Most bytes of a message, its line feed included.
+/// Maximum size of an encoded message, including its line feed.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
-/// One message.
+/// A message to or from a carrier switch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// Its type.
+    /// Message type, such as `START`.
     pub verb: String,
-    /// The call that it is about, as 16 hex digits.
+    /// Call reference, the identifier of the call on the wire, as 16 hexadecimal digits.
     #[serde(default)]
     pub tag: String,
-    /// Its fields.
+    /// Fields that depend on the message type.
     #[serde(default, rename = "opts")]
     pub fields: BTreeMap<String, Value>,
-    /// The cause.
+    /// Q.850 cause of a release; in `ECHO`, 0; in `ECHOED`, 1 if the probe succeeded.
     #[serde(default, rename = "rc", skip_serializing_if = "Option::is_none")]
     pub result_code: Option<u8>,
-    /// The description.
+    /// Session description.
     #[serde(default, rename = "blob", skip_serializing_if = "Option::is_none")]
     pub session_description: Option<String>,
 }
 
 impl Message {
-    /// A message about a call.
+    /// Creates a message that carries nothing but its type and its call reference.
     pub fn new(verb: &str, call_reference: u64) -> Self {
-        let (tag, fields) = (format!("{call_reference:016x}"), BTreeMap::new());
-        Message { verb: verb.to_string(), tag, fields, result_code: None, session_description: None }
+        Message {
+            verb: verb.to_string(),
+            tag: format!("{call_reference:016x}"),
+            fields: BTreeMap::new(),
+            result_code: None,
+            session_description: None,
+        }
     }
 
-    /// The call that it is about.
+    /// Parses the call reference; `None` unless it is exactly 16 hexadecimal digits.
     pub fn call_reference(&self) -> Option<u64> {
-        let hex = self.tag.len() == 16 && self.tag.bytes().all(|b| b.is_ascii_hexdigit());
-        if hex { u64::from_str_radix(&self.tag, 16).ok() } else { None }
+        // from_str_radix alone would accept a leading plus sign.
+        let is_valid = self.tag.len() == 16 && self.tag.bytes().all(|b| b.is_ascii_hexdigit());
+        if is_valid { u64::from_str_radix(&self.tag, 16).ok() } else { None }
     }
 
-    /// A field's text; fields are strings or numbers.
+    /// Returns the value of a field as text. Values are strings or numbers; other JSON types are ignored.
     pub fn field_text(&self, name: &str) -> Option<String> {
         match self.fields.get(name)? {
-            Value::String(s) => Some(s.clone()),
-            Value::Number(n) => Some(n.to_string()),
+            Value::String(text) => Some(text.clone()),
+            Value::Number(number) => Some(number.to_string()),
             _ => None,
         }
     }
 
-    /// The report that it carries, such as `x0:12;x1:40;queue:3`.
+    /// Parses the load report in the field `load`, such as `x0:12;x1:40;queue:3`. Entries that cannot be
+    /// parsed are skipped.
     pub fn load_report(&self) -> Report {
         let mut report = Report::default();
-        for pair in self.field_text("load").unwrap_or_default().split(';') {
-            if let Some((name, value)) = pair.split_once(':')
+        for entry in self.field_text("load").unwrap_or_default().split(';') {
+            if let Some((name, value)) = entry.split_once(':')
                 && let Ok(value) = value.trim().parse()
             {
                 set_report(&mut report, name.trim(), value);
@@ -63,7 +70,7 @@
         report
     }
 
-    /// What the switch notes of a release.
+    /// Returns the reason that the switch gives for a release in the field `note`.
     pub fn release_reason(&self) -> Cause {
         match self.field_text("note").as_deref() {
             Some("atb") => Cause::NoCircuit,
@@ -71,20 +78,21 @@
             Some("racc") => Cause::FullBeyond,
             Some("sub") => Cause::NumberBusy,
             Some("acc") => {
-                let waited = self.field_text("waited").and_then(|w| w.parse::<f64>().ok()).unwrap_or(0.0);
-                // Out-of-range floats saturate, and what is no number becomes 0.
-                Cause::ProcessorFull((waited.clamp(0.0, 1e9) * 1000.0) as i64)
+                let waited_ms = self.field_text("waited").and_then(|w| w.parse::<f64>().ok()).unwrap_or(0.0);
+                // Values out of range are clamped; the cast turns NaN into 0.
+                Cause::ProcessorFull((waited_ms.clamp(0.0, 1e9) * 1000.0) as i64)
             }
             _ => Cause::None,
         }
     }
 
-    /// Appends the message's line, or nothing if it is longer than a message may be.
+    /// Appends the encoded line to `out`. Returns false, and appends nothing, if the line would exceed
+    /// [`MAX_MESSAGE_BYTES`].
     pub fn encode(&self, out: &mut Vec<u8>) -> bool {
         let start = out.len();
-        let written = serde_json::to_writer(&mut *out, self).is_ok();
+        let serialized = serde_json::to_writer(&mut *out, self).is_ok();
         out.push(b'\n');
-        let fits = written && out.len() - start <= MAX_MESSAGE_BYTES;
+        let fits = serialized && out.len() - start <= MAX_MESSAGE_BYTES;
         if !fits {
             out.truncate(start);
         }
@@ -92,28 +100,28 @@
     }
 }
 
-/// Takes the first line off `bytes`, without its line feed, and how many bytes it takes; `None` if it has not
-/// come whole.
+/// Returns the first line in `bytes`, without its line feed, and its size with the line feed; `None` if the
+/// line is incomplete.
 ///
 /// # Errors
-/// The line is longer than `most`.
-pub fn first_line(bytes: &[u8], most: usize) -> Result<Option<(&[u8], usize)>, &'static str> {
+/// The line, with its line feed, is longer than `max_bytes`.
+pub fn first_line(bytes: &[u8], max_bytes: usize) -> Result<Option<(&[u8], usize)>, &'static str> {
     match bytes.iter().position(|b| *b == b'\n') {
-        Some(end) if end < most => Ok(bytes.get(..end).map(|line| (line, end + 1))),
-        None if bytes.len() < most => Ok(None),
-        _ => Err("a line longer than a message may be"),
+        Some(end) if end < max_bytes => Ok(bytes.get(..end).map(|line| (line, end + 1))),
+        None if bytes.len() < max_bytes => Ok(None),
+        _ => Err("a line that exceeds the size limit"),
     }
 }
 
-/// Reads the first message and how many bytes it takes; `None` if it has not come whole.
+/// Decodes the first message in `bytes`. Returns it with its encoded size, or `None` if it is incomplete.
 ///
 /// # Errors
-/// What is wrong with it.
+/// Describes what is malformed.
 pub fn decode(bytes: &[u8]) -> Result<Option<(Message, usize)>, &'static str> {
     match first_line(bytes, MAX_MESSAGE_BYTES)? {
-        Some((line, taken)) => {
-            let message = serde_json::from_slice(line).map_err(|_| "a line that holds no message")?;
-            Ok(Some((message, taken)))
+        Some((line, size)) => {
+            let message = serde_json::from_slice(line).map_err(|_| "a line that is not a valid message")?;
+            Ok(Some((message, size)))
         }
         None => Ok(None),
     }
@@ -124,81 +132,73 @@
     use super::*;
 
     #[test]
-    fn a_message_is_read_only_once_it_is_whole() {
+    fn incomplete_lines_are_not_decoded() {
         let text =
             "{\"verb\":\"FINISH\",\"tag\":\"9b1f03aa5c7e2d41\",\"opts\":{\"waited\":12},\"rc\":34}\nrest";
         let end = text.len() - 4;
-        for n in 0..end {
-            assert_eq!(decode(&text.as_bytes()[..n]), Ok(None));
+        for length in 0..end {
+            assert_eq!(decode(&text.as_bytes()[..length]), Ok(None));
         }
-        let (message, taken) = decode(text.as_bytes()).unwrap().unwrap();
-        assert_eq!(
-            (message.call_reference(), message.result_code, taken),
-            (Some(0x9b1f_03aa_5c7e_2d41), Some(34), end)
-        );
+        let (message, size) = decode(text.as_bytes()).unwrap().unwrap();
+        assert_eq!(message.call_reference(), Some(0x9b1f_03aa_5c7e_2d41));
+        assert_eq!((message.result_code, size), (Some(34), end));
         assert_eq!(message.field_text("waited").as_deref(), Some("12"));
     }
 
     #[test]
-    fn notes_and_reports_are_read_from_strings_and_numbers() {
-        let read = |opts: &str| {
+    fn release_reasons_and_load_reports_are_read_from_strings_and_numbers() {
+        let decode_with = |opts: &str| {
             let text = format!("{{\"verb\":\"FINISH\",\"tag\":\"\",\"opts\":{opts}}}\n");
             decode(text.as_bytes()).unwrap().unwrap().0
         };
-        assert_eq!(
-            read(r#"{"note":"acc","waited":"1200"}"#).release_reason(),
-            Cause::ProcessorFull(1_200_000)
-        );
-        assert_eq!(
-            read(r#"{"note":"acc","waited":1e300}"#).release_reason(),
-            Cause::ProcessorFull(1_000_000_000_000)
-        );
-        assert_eq!(read(r#"{"note":"racc"}"#).release_reason(), Cause::FullBeyond);
-        assert_eq!(read(r#"{"note":"odd"}"#).release_reason(), Cause::None);
-        let report = read(r#"{"load":"x0:12;x1:40;queue:3;x9:1;bad"}"#).load_report();
+        let reason = |opts: &str| decode_with(opts).release_reason();
+        assert_eq!(reason(r#"{"note":"acc","waited":"1200"}"#), Cause::ProcessorFull(1_200_000));
+        assert_eq!(reason(r#"{"note":"acc","waited":1e300}"#), Cause::ProcessorFull(1_000_000_000_000));
+        assert_eq!(reason(r#"{"note":"racc"}"#), Cause::FullBeyond);
+        assert_eq!(reason(r#"{"note":"odd"}"#), Cause::None);
+        let report = decode_with(r#"{"load":"x0:12;x1:40;queue:3;x9:1;bad"}"#).load_report();
         assert_eq!((report.free, report.size, report.waiting), (Some(12.0), Some(40.0), Some(3.0)));
     }
 
     #[test]
-    fn malformed_and_overlong_lines_are_errors() {
+    fn malformed_and_overlong_lines_are_rejected() {
         assert!(decode(b"{]\n").is_err() && decode(b"7\n").is_err());
         assert!(decode(b"{\"verb\":\"FINISH\",\"tag\":\"\",\"rc\":300}\n").is_err());
-        let long = vec![b' '; MAX_MESSAGE_BYTES];
-        assert!(decode(&long).is_err() && decode(&long[1..]) == Ok(None));
+        let unterminated = vec![b' '; MAX_MESSAGE_BYTES];
+        assert!(decode(&unterminated).is_err() && decode(&unterminated[1..]) == Ok(None));
         for tag in ["", "9b1f", "+b1f03aa5c7e2d41", "9b1f03aa5c7e2d411"] {
             assert_eq!(Message { tag: tag.into(), ..Message::new("START", 1) }.call_reference(), None);
         }
     }
 
+    /// The line is twice as long as the text in it, since each line feed is escaped with two bytes.
     #[test]
-    fn a_message_that_grows_too_long_by_escaping_is_not_written() {
+    fn messages_that_exceed_the_size_limit_after_escaping_are_not_encoded() {
         let mut out = b"before".to_vec();
-        let message = Message {
-            session_description: Some("\n".repeat(MAX_MESSAGE_BYTES / 2)),
-            ..Message::new("START", 1)
-        };
+        let description = "\n".repeat(MAX_MESSAGE_BYTES / 2);
+        let message = Message { session_description: Some(description), ..Message::new("START", 1) };
         assert!(!message.encode(&mut out));
         assert_eq!(out, b"before");
     }
 
     #[test]
-    fn whatever_bytes_come_they_are_read_or_refused() {
-        let mut whole = Vec::new();
-        let opts = [("note", "acc"), ("waited", "12"), ("load", "x0:12;x1:40;latency_ms:3.5")];
-        let opts = opts.map(|(k, v)| (k.to_string(), Value::from(v))).into();
-        assert!(
-            Message { fields: opts, result_code: Some(34), ..Message::new("FINISH", 7) }.encode(&mut whole)
-        );
-        let (mut read, mut refused) = (0, 0);
-        crate::net::for_each_mutation(&whole, |bytes| match decode(bytes) {
-            Ok(Some((message, taken))) => {
-                assert!(taken <= bytes.len());
+    fn mutated_lines_are_decoded_or_rejected_without_a_panic() {
+        let mut encoded = Vec::new();
+        let fields = [("note", "acc"), ("waited", "12"), ("load", "x0:12;x1:40;latency_ms:3.5")];
+        let fields = fields.map(|(k, v)| (k.to_string(), Value::from(v))).into();
+        let message = Message { fields, result_code: Some(34), ..Message::new("FINISH", 7) };
+        assert!(message.encode(&mut encoded));
+        let mut decoded = 0;
+        let mut rejected = 0;
+        crate::net::for_each_mutation(&encoded, |bytes| match decode(bytes) {
+            Ok(Some((message, size))) => {
+                assert!(size <= bytes.len());
                 let _ = (message.call_reference(), message.release_reason(), message.load_report());
-                read += 1;
+                decoded += 1;
             }
             Ok(None) => {}
-            Err(_) => refused += 1,
+            Err(_) => rejected += 1,
         });
-        assert!(read > 1000 && refused > 1000, "{read} read, {refused} refused");
+        assert!(decoded > 1000 && rejected > 1000, "{decoded} decoded, {rejected} rejected");
     }
 }
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -1,4 +1,4 @@
-//! One TCP connection: its socket, its place in the loop and its buffers.
+//! A TCP connection: its non-blocking socket, its registration with the event loop and its buffers.
 
 use super::Node;
 use calloop::generic::Generic;
@@ -8,167 +8,180 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Bytes read at a time; other connections have their turn in between.
-const CHUNK: usize = 16 * 1024;
+/// Maximum number of bytes per read, so that a busy connection does not keep the others waiting.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// What a read came to.
+/// Linux error number of a non-blocking connect in progress.
+const EINPROGRESS: i32 = 115;
+
+/// Outcome of [`Connection::read`].
 #[derive(Debug, PartialEq)]
 pub enum ReadStatus {
-    /// There may be more to read.
+    /// Bytes were read, and more may be available.
     MorePossible,
-    /// Nothing more for now.
+    /// No more bytes are available for now.
     WouldBlock,
     /// The peer has finished sending.
     EndOfStream,
-    /// The connection is broken.
+    /// The connection has failed.
     Failed,
 }
 
-/// A connection. The loop has a handle of the same socket only while it is registered:
-/// [`Connection::close`] is the one place where both are given back.
+/// A TCP connection that is registered with the event loop. The loop holds a second reference to the socket
+/// for as long as the connection is registered; only [`Connection::close`] releases both.
 pub struct Connection {
     stream: Rc<TcpStream>,
-    token: RegistrationToken,
-    /// What has come and is not read yet.
+    registration: RegistrationToken,
+    /// Bytes received and not yet decoded.
     pub input_buffer: Vec<u8>,
-    output: Vec<u8>,
-    /// Most bytes that wait for a peer that does not read.
-    most_unsent: usize,
+    output_buffer: Vec<u8>,
+    /// Limit on the output buffer, for a peer that does not read.
+    max_unsent_bytes: usize,
 }
 
 impl Connection {
-    /// Puts a socket into the loop. The callback runs when there is something to read or room to write.
+    /// Registers a socket with the event loop. The callback runs when there is something to read or room to
+    /// write.
     pub fn new(
-        handle: &LoopHandle<'static, Node>, stream: TcpStream, most_unsent: usize,
+        handle: &LoopHandle<'static, Node>, stream: TcpStream, max_unsent_bytes: usize,
         callback: impl Fn(&mut Node) + 'static,
     ) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
-        // Edge-triggered: the interests never change, and a peer that has finished sending wakes us once.
+        // Edge-triggered, so that the registered interests never have to change and a peer that has finished
+        // sending causes a single wake-up.
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
-        let token = handle
+        let registration = handle
             .insert_source(source, move |_, _, node| {
                 callback(node);
                 Ok(PostAction::Continue)
             })
-            .map_err(|e| io::Error::other(e.to_string()))?;
-        Ok(Connection { stream, token, input_buffer: vec![], output: vec![], most_unsent })
+            .map_err(|error| io::Error::other(error.to_string()))?;
+        Ok(Connection { stream, registration, input_buffer: vec![], output_buffer: vec![], max_unsent_bytes })
     }
 
-    /// Starts to connect; [`Connection::check_connected`] tells how that went.
+    /// Starts to connect without blocking; [`Connection::check_connected`] gives the result.
     pub fn connect(
-        handle: &LoopHandle<'static, Node>, to: SocketAddr, most_unsent: usize,
+        handle: &LoopHandle<'static, Node>, address: SocketAddr, max_unsent_bytes: usize,
         callback: impl Fn(&mut Node) + 'static,
     ) -> io::Result<Self> {
-        let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
+        let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
-        match socket.connect(&SockAddr::from(to)) {
-            Err(e) if !in_progress(&e) => return Err(e),
+        match socket.connect(&SockAddr::from(address)) {
+            Err(error) if !is_in_progress(&error) => return Err(error),
             _ => {}
         }
-        Connection::new(handle, socket.into(), most_unsent, callback)
+        Connection::new(handle, socket.into(), max_unsent_bytes, callback)
     }
 
-    /// Whether a connection that was being set up has come up.
+    /// Returns true once the connection is established, and false while it is being established.
+    ///
+    /// # Errors
+    /// The connection could not be established, or has failed since.
     pub fn check_connected(&self) -> io::Result<bool> {
-        if let Some(e) = self.stream.take_error()? {
-            return Err(e);
+        if let Some(error) = self.stream.take_error()? {
+            return Err(error);
         }
         match self.stream.peer_addr() {
             Ok(_) => Ok(true),
-            Err(e) if e.kind() == ErrorKind::NotConnected => Ok(false),
-            Err(e) => Err(e),
+            Err(error) if error.kind() == ErrorKind::NotConnected => Ok(false),
+            Err(error) => Err(error),
         }
     }
 
-    /// Reads what is there, a chunk at most.
+    /// Reads at most one chunk of the bytes available and appends it to the input buffer.
     pub fn read(&mut self) -> ReadStatus {
-        // What is kept of a message in parts is as long as its parts: many peers may leave theirs unfinished.
-        let mut chunk = [0; CHUNK];
+        // Read by way of the stack, so that the input buffer grows by the bytes received and not by a whole
+        // chunk: many peers may leave a message incomplete at the same time.
+        let mut chunk = [0; READ_CHUNK_BYTES];
         let result = loop {
             match (&*self.stream).read(&mut chunk) {
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 other => break other,
             }
         };
-        self.input_buffer.extend_from_slice(chunk.get(..*result.as_ref().unwrap_or(&0)).unwrap_or_default());
+        let received = *result.as_ref().unwrap_or(&0);
+        self.input_buffer.extend_from_slice(chunk.get(..received).unwrap_or_default());
         match result {
             Ok(0) => ReadStatus::EndOfStream,
             Ok(_) => ReadStatus::MorePossible,
-            Err(e) if e.kind() == ErrorKind::WouldBlock => ReadStatus::WouldBlock,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => ReadStatus::WouldBlock,
             Err(_) => ReadStatus::Failed,
         }
     }
 
-    /// The messages that have come whole, by a codec's `decode`; what has come of the next one stays.
+    /// Decodes the complete messages in the input buffer and removes them from it; an incomplete message
+    /// stays. If malformed input follows them, returns the decoder's error as well.
     pub fn decode_messages<M>(
         &mut self, decode: impl Fn(&[u8]) -> DecodeResult<M>,
     ) -> (Vec<M>, Result<(), &'static str>) {
-        let (mut messages, mut taken) = (Vec::new(), 0);
+        let mut messages = Vec::new();
+        let mut consumed = 0;
         let result = loop {
-            match decode(self.input_buffer.get(taken..).unwrap_or_default()) {
-                Ok(Some((message, n))) => {
+            match decode(self.input_buffer.get(consumed..).unwrap_or_default()) {
+                Ok(Some((message, size))) => {
                     messages.push(message);
-                    taken += n;
+                    consumed += size;
                 }
                 Ok(None) => break Ok(()),
-                Err(what) => break Err(what),
+                Err(error) => break Err(error),
             }
         };
-        self.input_buffer.drain(..taken);
+        self.input_buffer.drain(..consumed);
         self.input_buffer.shrink_to_fit();
         (messages, result)
     }
 
-    /// Where to append what is to be written; [`Connection::flush`] writes it.
+    /// Returns the buffer to which output is appended; [`Connection::flush`] sends it.
     pub fn output_buffer(&mut self) -> &mut Vec<u8> {
-        &mut self.output
+        &mut self.output_buffer
     }
 
-    /// Writes what the peer takes now.
+    /// Sends as much of the output buffer as the socket accepts without blocking.
     ///
     /// # Errors
-    /// The connection is broken, or its peer reads too little.
+    /// The connection has failed, or more bytes remain unsent than the limit allows.
     pub fn flush(&mut self) -> io::Result<()> {
         let mut sent = 0;
         let result = loop {
-            let rest = self.output.get(sent..).unwrap_or_default();
-            if rest.is_empty() {
+            let unsent = self.output_buffer.get(sent..).unwrap_or_default();
+            if unsent.is_empty() {
                 break Ok(());
             }
-            match (&*self.stream).write(rest) {
-                Ok(n) => sent += n,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock => break Ok(()),
-                Err(e) => break Err(e),
+            match (&*self.stream).write(unsent) {
+                Ok(written) => sent += written,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break Ok(()),
+                Err(error) => break Err(error),
             }
         };
-        self.output.drain(..sent);
-        if self.output.is_empty() {
-            self.output = Vec::new();
+        self.output_buffer.drain(..sent);
+        if self.output_buffer.is_empty() {
+            self.output_buffer = Vec::new();
         }
-        if self.output.len() > self.most_unsent {
-            return Err(io::Error::other("its peer does not read"));
+        if self.output_buffer.len() > self.max_unsent_bytes {
+            return Err(io::Error::other("unsent data exceeds the limit: the peer does not read"));
         }
         result
     }
 
-    /// Whether all is written.
+    /// Returns true if no output is waiting to be sent.
     pub fn is_flushed(&self) -> bool {
-        self.output.is_empty()
+        self.output_buffer.is_empty()
     }
 
-    /// Ends the connection.
+    /// Removes the connection from the event loop and closes its socket. Unsent output is discarded.
     pub fn close(self, handle: &LoopHandle<'static, Node>) {
-        handle.remove(self.token);
+        handle.remove(self.registration);
     }
 }
 
-/// What a codec reads: the first message and its length, or `None` if it has not come whole.
+/// Result of decoding: the first message in the input with its encoded size, `None` if it is incomplete, or a
+/// description of what is malformed.
 pub type DecodeResult<M> = Result<Option<(M, usize)>, &'static str>;
 
-fn in_progress(e: &io::Error) -> bool {
-    // EINPROGRESS has no stable kind of its own.
-    matches!(e.kind(), ErrorKind::WouldBlock) || e.raw_os_error() == Some(115)
+fn is_in_progress(error: &io::Error) -> bool {
+    // EINPROGRESS has no stable error kind.
+    matches!(error.kind(), ErrorKind::WouldBlock) || error.raw_os_error() == Some(EINPROGRESS)
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -367,8 +367,9 @@
     }
 }
 
-/// For tests of the codecs: a message with bytes changed and sometimes cut short, in 20,000 ways. Whatever comes,
-/// they must not panic, for that would end the program.
+/// For tests of the codecs: passes on 20,000 mutations of an encoded message, each with one to four bytes
+/// overwritten and, in about one of eight, the last byte cut off. A decoder must not panic on any of them,
+/// since a panic ends the program.
 #[cfg(test)]
 fn for_each_mutation(whole: &[u8], mut each: impl FnMut(&[u8])) {
     use rand_core::{RngCore, SeedableRng};
