--- a/src/call.rs
+++ b/src/call.rs
@@ -1,6 +1,7 @@
-//! Call control round the decisions: the call table, attempts and their deadlines. It knows no protocol and does
-//! no I/O: what a protocol has read comes in by the methods of [`CallControl`], what is to be written goes out as
-//! [`Command`]s, and another protocol can be put before it as it is.
+//! Call control: the call table, the attempts at switches and their time-outs. It knows no protocol and does
+//! no I/O. Protocol code reports what it has received by calling the methods of [`CallControl`] and carries
+//! out the resulting [`Command`]s, so that other protocols can be used without a change here. The decisions
+//! are those of the [`Controller`].
 
 use crate::control::Controller;
 use crate::interface::{
@@ -10,19 +11,19 @@
 use crate::timers::TimerQueue;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Causes of a release (ITU-T Q.850), which the protocols of telephony share.
+/// Release causes of ITU-T Q.850, used by both the callers' and the switches' protocol.
 pub mod cause {
-    /// Normal clearing.
+    /// Normal call clearing.
     pub const NORMAL_CLEARING: u8 = 16;
     /// User busy.
     pub const USER_BUSY: u8 = 17;
     /// No circuit available.
     pub const NO_CIRCUIT: u8 = 34;
-    /// Temporary failure: something broke on the way.
+    /// Temporary failure of a switch or of a connection to it.
     pub const TEMPORARY_FAILURE: u8 = 41;
     /// Switching equipment congestion.
     pub const CONGESTION: u8 = 42;
-    /// Resource unavailable.
+    /// Resource unavailable, unspecified.
     pub const RESOURCE_UNAVAILABLE: u8 = 47;
     /// Invalid information element contents.
     pub const INVALID_CONTENTS: u8 = 100;
@@ -30,565 +31,655 @@
     pub const TIMER_EXPIRY: u8 = 102;
 }
 
-/// A caller's connection, whatever the protocol.
+/// Identifies a caller's connection, whichever protocol it uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// A call's id on the wire, the same on both sides. The module has ids of its own: they are mapped here alone.
+/// The id of a call or a probe on the wire; a call has the same one towards its caller and its switch. The
+/// controller has call ids of its own, and only [`CallControl`] translates between the two.
 pub type Tag = u64;
 
-/// For how long the tag of a call that is over is remembered: what still comes for it is its echo. A release
-/// is repeated on the next connection that a switch opens, which may take a while.
-const REMEMBERED: Micros = 600_000_000;
-/// Most tags remembered, for each call that the table may hold.
-const MOST_REMEMBERED: usize = 8;
-/// For how long a caller should stay away when there is no place for its call.
-const OVERFULL_BACK_OFF: Micros = 1_000_000;
-/// A probe without an answer has failed after this.
-const PROBE_WAIT: Micros = 250_000;
-
-/// What set-ups may name, and how much of them may be held.
+/// How long the tag of an ended call is kept, so that messages that still arrive for it are taken for
+/// repeats. It is long because a switch repeats a release on the next connection that it opens, which may
+/// take a while.
+const ENDED_TAG_RETENTION: Micros = 600_000_000;
+/// Most tags of ended calls that are kept, as a multiple of the calls that the call table may hold.
+const MAX_ENDED_TAGS_PER_CALL: usize = 8;
+/// Back-off of set-ups that are rejected because there is no room for them.
+const CONGESTION_BACK_OFF: Micros = 1_000_000;
+/// A probe that has not been answered after this time has failed.
+const PROBE_TIMEOUT: Micros = 250_000;
+/// Highest exchange number that a set-up may name.
+const MAX_EXCHANGE_NUMBER: Number = 1_000_000;
+/// Most circuits that a set-up may take where the settings do not give the number for its class.
+const MAX_CIRCUITS: f64 = 1e3;
+/// Largest difference at which two numbers of circuits are equal.
+const CIRCUITS_TOLERANCE: f64 = 1e-9;
+
+/// Limits on the values in set-ups and on the memory that calls may take.
 #[derive(Clone, Debug)]
 pub struct CallLimits {
-    /// Most calls in the table.
+    /// Most calls in the call table.
     pub max_calls: usize,
-    /// Most bytes of the descriptions that open calls hold.
+    /// Most bytes of session descriptions that unanswered calls may hold in total.
     pub max_description_bytes: usize,
-    /// Longest that a caller may say it waits.
+    /// Longest time for which a caller may say that it waits.
     pub max_caller_timeout: Micros,
-    /// Circuits that a call of each class takes, where the settings say so.
+    /// The circuits that a call takes, by class index. A class without an entry may take any number of them
+    /// up to a fixed limit.
     pub circuits_by_class: Vec<f64>,
 }
 
-/// Why a set-up is not taken.
+/// Why a set-up was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SetUpError {
-    /// Its class or its figures make no sense.
+    /// Its class is unknown or one of its values is out of range.
     Invalid,
-    /// Its id is that of a call that is open or stands.
+    /// Its tag is that of another call in the call table.
     TagInUse,
 }
 
 /// A set-up as a caller sent it.
 #[derive(Clone, Debug, Default)]
 pub struct SetUp {
-    /// Its id on the wire.
+    /// The tag of the call.
     pub tag: Tag,
-    /// The class, by name.
+    /// The name of the class of call.
     pub class: String,
-    /// The number called.
+    /// The called number.
     pub called_number: String,
-    /// How long the caller waits.
+    /// How long the caller waits for an answer.
     pub caller_timeout: Micros,
-    /// The caller tries again.
+    /// The caller has tried before.
     pub redial: bool,
-    /// The exchange it is for.
+    /// The number of the destination exchange.
     pub destination: Number,
-    /// Circuits it takes.
+    /// How many circuits the call takes.
     pub circuits: f64,
-    /// The advised tandem or, in transit, where it comes from.
+    /// The tandem that the caller was advised to use or, in transit, the exchange from which the call comes;
+    /// -1 if there is none.
     pub via: Number,
-    /// Another gatekeeper passes it on.
+    /// The call is passed on by another gatekeeper.
     pub transit: bool,
-    /// The session description, passed on unchanged.
+    /// The session description, which is passed on unchanged.
     pub description: Option<String>,
 }
 
-/// A switch's release of an attempt or of a standing call.
+/// A release that a switch sent, of an attempt or of an answered call.
 #[derive(Clone, Debug)]
 pub struct Release {
-    /// Its cause (see [`cause`]).
+    /// The Q.850 cause (see [`cause`]).
     pub cause: u8,
-    /// What the switch noted.
+    /// The switch's note on the cause.
     pub note: Cause,
-    /// What it reports.
+    /// The load report that came with it.
     pub report: Report,
 }
 
-/// What is to be written, in the order given.
+/// A message to send or a line to log. Commands are carried out in the order of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Set a call up.
+    /// Send a set-up to a switch.
     SetUp {
-        /// At this switch.
+        /// The switch.
         switch: ExchangeId,
         /// The call.
         tag: Tag,
-        /// Its class.
+        /// The name of its class.
         class: String,
-        /// The number called.
+        /// The called number.
         called_number: String,
         /// When the attempt times out.
         deadline: Micros,
-        /// The caller's description.
+        /// The caller's session description.
         description: Option<String>,
     },
-    /// Give a set-up up, or release a call that stands there.
+    /// Release an attempt or an answered call at a switch.
     ReleaseAtSwitch {
         /// The switch.
         switch: ExchangeId,
         /// The call.
         tag: Tag,
     },
-    /// Release a call wherever it may stand: it was set up before this program started.
+    /// Release a call at all switches. It was set up before this program started, at an unknown switch.
     ReleaseAtAllSwitches(Tag),
-    /// Probe a switch.
+    /// Send a probe to a switch.
     Probe {
         /// The switch.
         switch: ExchangeId,
-        /// The probe.
+        /// The tag of the probe.
         tag: Tag,
     },
-    /// Tell a caller that its call stands.
+    /// Tell a caller that its call is answered.
     Answer {
         /// The caller's connection.
         connection: ConnectionId,
         /// The call.
         tag: Tag,
-        /// The description that the switch gave.
+        /// The switch's session description.
         description: Option<String>,
     },
-    /// Tell a caller that its call does not stand.
+    /// Tell a caller that its set-up was unsuccessful.
     Reject {
         /// The caller's connection.
         connection: ConnectionId,
         /// The call.
         tag: Tag,
-        /// Congestion if trying again is harmless, else failed.
+        /// [`cause::CONGESTION`] if a redial does no harm, otherwise [`cause::TEMPORARY_FAILURE`].
         cause: u8,
-        /// For how long to stay away; 0 says nothing.
+        /// How long the caller should wait before a redial; 0 if it is not told.
         back_off: Micros,
     },
-    /// Release a standing call towards its caller.
+    /// Release an answered call towards its caller.
     ReleaseToCaller {
-        /// The connection of its set-up, if this program knows it.
+        /// The connection of its set-up; `None` if it was set up before this program started.
         connection: Option<ConnectionId>,
         /// The call.
         tag: Tag,
-        /// Why.
+        /// The Q.850 cause.
         cause: u8,
     },
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
 
-/// What the one timer queue holds.
+/// What is due when a timer in [`CallControl::timers`] expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerEvent {
-    /// The module wants to be woken.
+    /// A timer that the controller asked for.
     ControllerWakeUp {
         /// The token that the controller gave.
         token: u64,
     },
-    /// An attempt of a call has run out of time.
+    /// The time-out of an attempt.
     AttemptTimeout {
         /// The call.
         call: CallId,
         /// The number of the attempt.
         attempt: u32,
     },
-    /// A probe has.
+    /// The time-out of a probe.
     ProbeTimeout(Tag),
-    /// The connection to a switch has something due.
+    /// A time-out, reconnection or check of the connection to a switch.
     SwitchConnection(ExchangeId),
-    /// The control feed has.
+    /// A time-out or reconnection of the control feed.
     ControlFeed,
-    /// The callers' connections are to be looked after.
+    /// The periodic check of the callers' connections.
     CallerMaintenance,
-    /// The end of the program may be near.
+    /// A stage of the shutdown.
     Shutdown,
 }
 
+/// An attempt that is out at a switch.
 struct Attempt {
     number: u32,
     switch: ExchangeId,
-    sent: Micros,
+    sent_at: Micros,
 }
 
-enum Stage {
-    /// The module decides, holds or has an attempt out.
-    Open(Option<Attempt>),
-    /// It stands at this switch; its set-up was sent then.
-    Standing { switch: ExchangeId, sent: Micros, attempt: u32 },
+enum CallState {
+    /// The caller has no final answer yet. There is an attempt out at a switch, or none while the controller
+    /// decides on the call, holds it or waits before the next attempt.
+    Unanswered(Option<Attempt>),
+    /// The switch has answered the attempt whose set-up was sent at `sent_at`.
+    Answered { switch: ExchangeId, sent_at: Micros, attempt: u32 },
 }
 
 struct Call {
     tag: Tag,
-    origin: ConnectionId,
-    class: usize,
-    called: String,
+    connection: ConnectionId,
+    class_index: usize,
+    called_number: String,
+    /// The caller's session description, kept until the call is answered.
     description: Option<String>,
-    give_up_at: Micros,
-    attempts: u32,
-    stage: Stage,
+    /// When the caller gives up.
+    caller_deadline: Micros,
+    /// The number of the next attempt; they are counted from 0.
+    next_attempt: u32,
+    state: CallState,
+}
+
+/// A probe that is out at a switch.
+struct Probe {
+    switch: ExchangeId,
+    sent_at: Micros,
 }
 
-/// The call table and the module behind it.
+/// When the tag of an ended call is no longer kept.
+struct EndedTagExpiry {
+    expires_at: Micros,
+    tag: Tag,
+}
+
+/// The call table and the controller that decides on its calls.
 pub struct CallControl {
-    module: Controller,
+    controller: Controller,
     names: Names,
-    step: Micros,
+    /// Shortest time between two batches of events.
+    batch_interval: Micros,
     limits: CallLimits,
-    /// Bytes of descriptions in the table.
-    held: usize,
+    /// Total bytes of the session descriptions in the call table.
+    description_bytes: usize,
     calls: BTreeMap<CallId, Call>,
-    tags: HashMap<Tag, CallId>,
-    last_id: u64,
-    over: HashMap<Tag, Micros>,
-    over_order: VecDeque<(Micros, Tag)>,
-    probes: HashMap<Tag, (ExchangeId, Micros)>,
-    last_probe: Tag,
-    /// What came since the last batch, in order of arrival.
-    events: Vec<Event>,
-    /// The next batch comes no sooner.
-    next_batch: Micros,
+    /// Ids of the calls in the call table.
+    call_ids: HashMap<Tag, CallId>,
+    last_call_id: u64,
+    /// Tags of calls that have ended, and when they were last recorded.
+    ended_tags: HashMap<Tag, Micros>,
+    /// Expiry times of `ended_tags`, earliest first.
+    ended_tag_expiries: VecDeque<EndedTagExpiry>,
+    /// Probes without an answer.
+    probes: HashMap<Tag, Probe>,
+    last_probe_tag: Tag,
+    /// Events since the last batch, in order of arrival.
+    pending_events: Vec<Event>,
+    /// Earliest time of the next batch.
+    next_batch_at: Micros,
+    /// Actions that the controller has asked for.
     actions: Vec<Action>,
-    /// All that is due at some time, the network's part too: there is one loop timer.
+    /// All timers of the program, those of the network code included: the event loop has a single system
+    /// timer.
     pub timers: TimerQueue<TimerEvent>,
-    /// What is to be written.
+    /// Commands to be carried out.
     pub commands: Vec<Command>,
 }
 
 impl CallControl {
     /// Call control with an empty call table.
     pub fn new(settings: Settings, names: Names, limits: CallLimits, seed: u64, now: Micros) -> Self {
-        let (step, mut actions) = (settings.step, Vec::new());
-        let module = Controller::new(settings, seed, now, &mut actions);
+        let batch_interval = settings.step;
+        let mut actions = Vec::new();
+        let controller = Controller::new(settings, seed, now, &mut actions);
         let mut call_control = CallControl {
-            module,
+            controller,
             names,
-            step,
+            batch_interval,
             limits,
-            held: 0,
+            description_bytes: 0,
             calls: BTreeMap::new(),
-            tags: HashMap::new(),
-            last_id: 0,
-            over: HashMap::new(),
-            over_order: VecDeque::new(),
+            call_ids: HashMap::new(),
+            last_call_id: 0,
+            ended_tags: HashMap::new(),
+            ended_tag_expiries: VecDeque::new(),
             probes: HashMap::new(),
-            last_probe: seed,
-            events: vec![],
-            next_batch: now,
+            last_probe_tag: seed,
+            pending_events: vec![],
+            next_batch_at: now,
             actions,
             timers: TimerQueue::default(),
             commands: vec![],
         };
-        call_control.act(now);
+        call_control.execute_actions(now);
         call_control
     }
 
-    /// The index of a zone's name; one that the settings do not name is a zone of its own.
+    /// The index of a zone. All zones that the settings do not name share the index after the last.
     pub fn zone_index(&self, name: &str) -> u32 {
-        self.names.zones.iter().position(|z| z == name).unwrap_or(self.names.zones.len()) as u32
+        self.names.zones.iter().position(|zone| zone == name).unwrap_or(self.names.zones.len()) as u32
     }
 
-    /// Calls that still wait for their final answer.
+    /// The number of calls without a final answer.
     pub fn unanswered_count(&self) -> usize {
-        self.calls.values().filter(|c| matches!(c.stage, Stage::Open(_))).count()
+        self.calls.values().filter(|call| matches!(call.state, CallState::Unanswered(_))).count()
     }
 
-    /// Whether a call has an attempt out at a switch, or stands there.
+    /// Whether a call has an attempt out at a switch or was answered by it.
     pub fn has_calls_at(&self, switch: ExchangeId) -> bool {
-        self.calls.values().any(|c| match &c.stage {
-            Stage::Open(attempt) => attempt.as_ref().is_some_and(|a| a.switch == switch),
-            Stage::Standing { switch: at, .. } => *at == switch,
+        self.calls.values().any(|call| match &call.state {
+            CallState::Unanswered(attempt) => attempt.as_ref().is_some_and(|out| out.switch == switch),
+            CallState::Answered { switch: answering, .. } => *answering == switch,
         })
     }
 
-    /// When the oldest set-up that is out at a switch was sent.
+    /// When the oldest of the attempts that are out at a switch was sent.
     pub fn oldest_attempt_sent_at(&self, switch: ExchangeId) -> Option<Micros> {
-        let out = |c: &Call| match &c.stage {
-            Stage::Open(Some(a)) if a.switch == switch => Some(a.sent),
+        let sent_at = |call: &Call| match &call.state {
+            CallState::Unanswered(Some(attempt)) if attempt.switch == switch => Some(attempt.sent_at),
             _ => None,
         };
-        self.calls.values().filter_map(out).min()
+        self.calls.values().filter_map(sent_at).min()
     }
 
-    // What callers send.
+    // Messages and connections of callers.
 
-    /// A set-up has come. One for which there is no place is refused here and never reaches the module.
+    /// Takes a set-up from a caller. If there is no room for it, it is rejected without asking the
+    /// controller.
     ///
     /// # Errors
-    /// It is not taken, and nothing was answered.
-    pub fn handle_set_up(&mut self, now: Micros, origin: ConnectionId, new: SetUp) -> Result<(), SetUpError> {
-        // Guards against two answers to one id: the first set-up alone is answered.
-        if self.tags.contains_key(&new.tag) {
+    /// The set-up was not accepted, and the caller has not been told.
+    pub fn handle_set_up(
+        &mut self, now: Micros, connection: ConnectionId, set_up: SetUp,
+    ) -> Result<(), SetUpError> {
+        // Only the first set-up with a tag is answered: the caller could not tell two answers apart.
+        if self.call_ids.contains_key(&set_up.tag) {
             return Err(SetUpError::TagInUse);
         }
-        let class = self.names.classes.iter().position(|c| *c == new.class).ok_or(SetUpError::Invalid)?;
-        let fits = |w: &f64| (new.circuits - w).abs() < 1e-9;
-        // Guards the switches and the module's figures against what no caller means: a switch closes its
-        // connection, with all that is open on it, on what it can't read.
-        let sound = new.tag != 0
-            && self
-                .limits
-                .circuits_by_class
-                .get(class)
-                .map_or(new.circuits > 0.0 && new.circuits <= 1e3, fits)
-            && (0..=1_000_000).contains(&new.destination)
-            && (-1..=1_000_000).contains(&new.via)
-            && (0..=self.limits.max_caller_timeout).contains(&new.caller_timeout);
-        if !sound {
+        let class_index = self.names.classes.iter().position(|class| *class == set_up.class);
+        let class_index = class_index.ok_or(SetUpError::Invalid)?;
+        let circuits_valid = match self.limits.circuits_by_class.get(class_index) {
+            Some(circuits) => (set_up.circuits - circuits).abs() < CIRCUITS_TOLERANCE,
+            None => set_up.circuits > 0.0 && set_up.circuits <= MAX_CIRCUITS,
+        };
+        // Values out of range would distort the controller's calculations, and a switch that cannot read a
+        // message closes its connection, which ends all attempts on it.
+        let valid = set_up.tag != 0
+            && circuits_valid
+            && (0..=MAX_EXCHANGE_NUMBER).contains(&set_up.destination)
+            && (-1..=MAX_EXCHANGE_NUMBER).contains(&set_up.via)
+            && (0..=self.limits.max_caller_timeout).contains(&set_up.caller_timeout);
+        if !valid {
             return Err(SetUpError::Invalid);
         }
-        let held = self.held + new.description.as_ref().map_or(0, String::len);
-        if self.calls.len() >= self.limits.max_calls || held > self.limits.max_description_bytes {
-            // Guards the memory, by the limits of the settings and the configuration.
-            self.reject_for_congestion(origin, new.tag);
+        let description_bytes = self.description_bytes + set_up.description.as_ref().map_or(0, String::len);
+        if self.calls.len() >= self.limits.max_calls || description_bytes > self.limits.max_description_bytes
+        {
+            // Bounds the memory that calls take, by the limits in the settings and the configuration.
+            self.reject_for_congestion(connection, set_up.tag);
             return Ok(());
         }
-        self.held = held;
-        self.last_id += 1;
-        let id = CallId(self.last_id);
-        let give_up_at = now.saturating_add(new.caller_timeout);
-        self.tags.insert(new.tag, id);
-        self.events.push(Event::Call(NewCall {
+        self.description_bytes = description_bytes;
+        self.last_call_id += 1;
+        let id = CallId(self.last_call_id);
+        let caller_deadline = now.saturating_add(set_up.caller_timeout);
+        self.call_ids.insert(set_up.tag, id);
+        self.pending_events.push(Event::Call(NewCall {
             id,
-            class,
+            class: class_index,
             tenant: None,
-            called: new.called_number.clone(),
-            give_up_at,
-            destination: new.destination,
-            width: new.circuits,
-            via: new.via,
-            redial: new.redial,
-            transit: new.transit,
+            called: set_up.called_number.clone(),
+            give_up_at: caller_deadline,
+            destination: set_up.destination,
+            width: set_up.circuits,
+            via: set_up.via,
+            redial: set_up.redial,
+            transit: set_up.transit,
         }));
-        let (tag, called, description) = (new.tag, new.called_number, new.description);
-        let (attempts, stage) = (0, Stage::Open(None));
-        self.calls.insert(id, Call { tag, origin, class, called, description, give_up_at, attempts, stage });
+        let call = Call {
+            tag: set_up.tag,
+            connection,
+            class_index,
+            called_number: set_up.called_number,
+            description: set_up.description,
+            caller_deadline,
+            next_attempt: 0,
+            state: CallState::Unanswered(None),
+        };
+        self.calls.insert(id, call);
         Ok(())
     }
 
-    /// Refuses a set-up for which there is no place; the module never hears of it.
-    pub fn reject_for_congestion(&mut self, origin: ConnectionId, tag: Tag) {
-        let back_off = OVERFULL_BACK_OFF;
-        self.commands.push(Command::Reject { connection: origin, tag, cause: cause::CONGESTION, back_off });
+    /// Rejects a set-up for which there is no room, without asking the controller.
+    pub fn reject_for_congestion(&mut self, connection: ConnectionId, tag: Tag) {
+        self.commands.push(Command::Reject {
+            connection,
+            tag,
+            cause: cause::CONGESTION,
+            back_off: CONGESTION_BACK_OFF,
+        });
     }
 
-    /// A caller has given its set-up up, or released its call; false if that is neither open nor stands.
+    /// Takes a release from a caller, of an unanswered or an answered call. Returns false if the call is not
+    /// in the call table.
     pub fn handle_caller_release(&mut self, now: Micros, tag: Tag) -> bool {
-        let Some(id) = self.tags.get(&tag).copied() else {
-            // Not one of ours, and not an echo: a call of before the last restart may stand at any switch.
-            if !self.over.contains_key(&tag) {
+        let Some(id) = self.call_ids.get(&tag).copied() else {
+            // A tag that has not been seen may belong to a call that was set up before the last restart and
+            // is still up at any of the switches.
+            if !self.ended_tags.contains_key(&tag) {
                 self.commands.push(Command::ReleaseAtAllSwitches(tag));
-                self.remember(now, tag);
+                self.record_ended_tag(now, tag);
             }
             return false;
         };
-        self.abandon(now, id);
+        self.release_for_caller(now, id);
         true
     }
 
-    /// A caller's connection has ended: the set-ups open on it are given up. Calls that stand belong to none.
-    pub fn handle_caller_disconnect(&mut self, now: Micros, origin: ConnectionId) {
-        let open = |c: &Call| c.origin == origin && matches!(c.stage, Stage::Open(_));
-        let gone: Vec<CallId> = self.calls.iter().filter(|(_, c)| open(c)).map(|(id, _)| *id).collect();
-        gone.into_iter().for_each(|id| self.abandon(now, id));
+    /// A caller's connection has closed: its unanswered calls are released. Answered calls stay up, as they
+    /// do not depend on the connection of their set-up.
+    pub fn handle_caller_disconnect(&mut self, now: Micros, connection: ConnectionId) {
+        let unanswered =
+            |call: &Call| call.connection == connection && matches!(call.state, CallState::Unanswered(_));
+        let ids: Vec<CallId> =
+            self.calls.iter().filter(|(_, call)| unanswered(call)).map(|(id, _)| *id).collect();
+        ids.into_iter().for_each(|id| self.release_for_caller(now, id));
     }
 
-    /// A set-up of this connection that is not answered yet.
-    pub fn unanswered_set_up(&self, origin: ConnectionId) -> Option<Tag> {
-        let owed = self.calls.values().find(|c| c.origin == origin && matches!(c.stage, Stage::Open(_)));
-        owed.map(|c| c.tag)
+    /// The tag of an unanswered call that was set up on a connection, if there is one.
+    pub fn unanswered_set_up(&self, connection: ConnectionId) -> Option<Tag> {
+        let unanswered =
+            |call: &&Call| call.connection == connection && matches!(call.state, CallState::Unanswered(_));
+        self.calls.values().find(unanswered).map(|call| call.tag)
     }
 
-    /// All connections that wait for an answer, and for how many.
+    /// The number of unanswered calls of each connection that has any.
     pub fn unanswered_by_connection(&self) -> BTreeMap<ConnectionId, usize> {
-        let mut owed = BTreeMap::new();
-        for call in self.calls.values().filter(|c| matches!(c.stage, Stage::Open(_))) {
-            *owed.entry(call.origin).or_default() += 1;
+        let mut counts = BTreeMap::new();
+        for call in self.calls.values().filter(|call| matches!(call.state, CallState::Unanswered(_))) {
+            *counts.entry(call.connection).or_default() += 1;
         }
-        owed
+        counts
     }
 
-    /// The caller has no more use for the call: what it has at a switch is given up.
-    fn abandon(&mut self, now: Micros, id: CallId) {
-        match self.take(now, id).map(|c| (c.tag, c.stage)) {
-            Some((tag, Stage::Open(attempt))) => {
-                self.events.push(Event::CallerGone(id));
-                if let Some(a) = attempt {
-                    self.give_up(tag, a.switch);
-                    self.end(id, a.number, a.switch, Outcome::Cancelled, true);
+    /// Removes a call that its caller has released, and releases it at its switch.
+    fn release_for_caller(&mut self, now: Micros, id: CallId) {
+        let Some(call) = self.remove_call(now, id) else { return };
+        match call.state {
+            CallState::Unanswered(attempt) => {
+                self.pending_events.push(Event::CallerGone(id));
+                if let Some(attempt) = attempt {
+                    self.release_at_switch(call.tag, attempt.switch);
+                    self.push_attempt_end(id, attempt.number, attempt.switch, Outcome::Cancelled, true);
                 }
             }
-            Some((tag, Stage::Standing { switch, attempt, .. })) => {
-                self.give_up(tag, switch);
-                self.end(id, attempt, switch, Outcome::Cancelled, true);
+            CallState::Answered { switch, attempt, .. } => {
+                self.release_at_switch(call.tag, switch);
+                self.push_attempt_end(id, attempt, switch, Outcome::Cancelled, true);
             }
-            None => {}
         }
     }
 
-    // What switches send.
+    // Messages and connections of switches.
 
-    /// A call stands.
+    /// Takes an answer from a switch.
     pub fn handle_answer(&mut self, now: Micros, switch: ExchangeId, tag: Tag, description: Option<String>) {
-        let id = self.tags.get(&tag).copied();
-        let call = id.and_then(|id| self.calls.get_mut(&id).map(|c| (id, c)));
+        let id = self.call_ids.get(&tag).copied();
+        let call = id.and_then(|id| self.calls.get_mut(&id).map(|call| (id, call)));
         if let Some((id, call)) = call {
-            match &call.stage {
-                Stage::Open(Some(a)) if a.switch == switch => {
-                    let (attempt, sent) = (a.number, a.sent);
-                    call.stage = Stage::Standing { switch, sent, attempt };
-                    let took = now - sent;
-                    // It is not needed again, and calls stand for long.
-                    self.held -= call.description.take().map_or(0, |d| d.len());
-                    self.events.push(Event::Standing { call: id, attempt, took });
-                    let connection = call.origin;
+            match &call.state {
+                CallState::Unanswered(Some(out)) if out.switch == switch => {
+                    let attempt = out.number;
+                    let sent_at = out.sent_at;
+                    call.state = CallState::Answered { switch, sent_at, attempt };
+                    let took = now - sent_at;
+                    // The caller's description is no longer needed, and an answered call may last long.
+                    self.description_bytes -= call.description.take().map_or(0, |text| text.len());
+                    self.pending_events.push(Event::Standing { call: id, attempt, took });
+                    let connection = call.connection;
                     return self.commands.push(Command::Answer { connection, tag, description });
                 }
-                Stage::Standing { switch: at, .. } if *at == switch => return,
+                CallState::Answered { switch: answering, .. } if *answering == switch => return,
                 _ => {}
             }
         }
-        // Guards against an answer that crossed its cancel: what was given up must not stay standing. One under
-        // an id that was never sent is nobody's.
-        if id.is_some() || self.over.contains_key(&tag) {
-            self.give_up(tag, switch);
+        // An answer that crossed the release of its attempt: without another release the call would stay up
+        // at the switch. An answer with a tag that was never sent is ignored.
+        if id.is_some() || self.ended_tags.contains_key(&tag) {
+            self.release_at_switch(tag, switch);
         }
     }
 
-    /// An attempt has failed, or a call that stood is over.
+    /// Takes a release from a switch, of an attempt or of an answered call.
     pub fn handle_switch_release(&mut self, now: Micros, switch: ExchangeId, tag: Tag, release: Release) {
-        let Some(id) = self.tags.get(&tag).copied() else {
+        let Some(id) = self.call_ids.get(&tag).copied() else {
             self.handle_load_report(switch, release.report);
-            let was_standing = matches!(release.cause, cause::NORMAL_CLEARING | cause::TEMPORARY_FAILURE);
-            if was_standing && !self.over.contains_key(&tag) {
-                // A call of before the last restart: its caller still has it.
-                self.remember(now, tag);
+            let was_answered = matches!(release.cause, cause::NORMAL_CLEARING | cause::TEMPORARY_FAILURE);
+            if was_answered && !self.ended_tags.contains_key(&tag) {
+                // The call was set up before the last restart, and its caller still takes it for answered.
+                self.record_ended_tag(now, tag);
                 self.commands.push(Command::ReleaseToCaller { connection: None, tag, cause: release.cause });
             }
             return;
         };
         let Some(call) = self.calls.get_mut(&id) else { return };
-        match &call.stage {
-            Stage::Open(Some(a)) if a.switch == switch => {
+        match &call.state {
+            CallState::Unanswered(Some(attempt)) if attempt.switch == switch => {
                 let outcome = match release.cause {
                     cause::NO_CIRCUIT => Outcome::Full,
                     cause::TIMER_EXPIRY => Outcome::NotSent,
                     cause::TEMPORARY_FAILURE => Outcome::Reset,
                     _ => Outcome::Error,
                 };
-                let attempt = a.number;
-                call.stage = Stage::Open(None);
-                let (cause, report) = (release.note, release.report);
-                let (call, exchange, closed) = (id, switch, false);
-                self.events.push(Event::Ended(End {
-                    call,
-                    attempt,
-                    exchange,
+                let number = attempt.number;
+                call.state = CallState::Unanswered(None);
+                self.pending_events.push(Event::Ended(End {
+                    call: id,
+                    attempt: number,
+                    exchange: switch,
                     outcome,
-                    cause,
-                    closed,
-                    report,
+                    cause: release.note,
+                    closed: false,
+                    report: release.report,
                 }));
             }
-            Stage::Standing { switch: at, .. } if *at == switch => {
+            CallState::Answered { switch: answering, .. } if *answering == switch => {
                 let outcome =
                     if release.cause == cause::NORMAL_CLEARING { Outcome::Ended } else { Outcome::Reset };
-                self.over(now, id, release.cause, outcome, release.report);
+                self.end_answered_call(now, id, release.cause, outcome, release.report);
             }
-            // The end of an attempt that was given up before.
+            // The release of an attempt that has already been released from this side.
             _ => self.handle_load_report(switch, release.report),
         }
     }
 
-    /// A switch has reported without being asked.
+    /// Takes a load report that is not part of the answer to a probe. An empty one is ignored.
     pub fn handle_load_report(&mut self, switch: ExchangeId, report: Report) {
         if report != Report::default() {
-            self.events.push(Event::Probed { exchange: switch, answered: true, took: 0, report });
+            self.pending_events.push(Event::Probed { exchange: switch, answered: true, took: 0, report });
         }
     }
 
-    /// A switch that seemed silent has spoken on a new connection, so long after that was begun: as good as a
-    /// probe that it has answered.
-    pub fn handle_switch_responsive(&mut self, switch: ExchangeId, took: Micros) {
-        let (answered, took, report) = (true, took.max(1), Report::default());
-        self.events.push(Event::Probed { exchange: switch, answered, took, report });
+    /// A switch that did not answer has sent a message on a new connection, `response_time` after that was
+    /// begun. To the controller this is the same as an answered probe.
+    pub fn handle_switch_responsive(&mut self, switch: ExchangeId, response_time: Micros) {
+        self.pending_events.push(Event::Probed {
+            exchange: switch,
+            answered: true,
+            took: response_time.max(1),
+            report: Report::default(),
+        });
     }
 
-    /// A probe has been answered.
+    /// Takes the answer to a probe, or its time-out.
     pub fn handle_probe_result(&mut self, now: Micros, tag: Tag, passed: bool, report: Report) {
-        if let Some((exchange, sent)) = self.probes.remove(&tag) {
-            let took = (now - sent).max(1);
-            self.events.push(Event::Probed { exchange, answered: passed, took, report });
+        if let Some(probe) = self.probes.remove(&tag) {
+            self.pending_events.push(Event::Probed {
+                exchange: probe.switch,
+                answered: passed,
+                took: (now - probe.sent_at).max(1),
+                report,
+            });
         }
     }
 
-    /// No connection to a switch came up: these set-ups never left.
+    /// These set-ups were never sent, as there is no connection to their switch.
     pub fn fail_unsent_set_ups(&mut self, switch: ExchangeId, tags: &[Tag]) {
         for tag in tags {
-            self.end_attempts(switch, Outcome::Unreachable, |c| c.tag == *tag);
+            self.end_attempts(switch, Outcome::Unreachable, |call| call.tag == *tag);
         }
     }
 
-    /// A connection to a switch is gone, and with it the set-ups that were sent there up to then.
-    pub fn handle_connection_lost(&mut self, switch: ExchangeId, up_to: Micros) {
-        let before = |c: &Call| matches!(&c.stage, Stage::Open(Some(a)) if a.sent <= up_to);
-        self.end_attempts(switch, Outcome::Reset, before);
+    /// A connection to a switch has ended, and with it the attempts that were sent there at `sent_until` or
+    /// earlier.
+    pub fn handle_connection_lost(&mut self, switch: ExchangeId, sent_until: Micros) {
+        let lost = |call: &Call| match &call.state {
+            CallState::Unanswered(Some(attempt)) => attempt.sent_at <= sent_until,
+            _ => false,
+        };
+        self.end_attempts(switch, Outcome::Reset, lost);
     }
 
-    fn end_attempts(&mut self, switch: ExchangeId, outcome: Outcome, which: impl Fn(&Call) -> bool) {
+    /// Ends the attempts at a switch of those calls that `selected` accepts.
+    fn end_attempts(&mut self, switch: ExchangeId, outcome: Outcome, selected: impl Fn(&Call) -> bool) {
         let mut ended = Vec::new();
-        for (id, call) in self.calls.iter_mut().filter(|(_, c)| which(c)) {
-            if let Stage::Open(Some(a)) = &call.stage
-                && a.switch == switch
+        for (id, call) in self.calls.iter_mut().filter(|(_, call)| selected(call)) {
+            if let CallState::Unanswered(Some(attempt)) = &call.state
+                && attempt.switch == switch
             {
-                ended.push((*id, a.number));
-                call.stage = Stage::Open(None);
+                ended.push((*id, attempt.number));
+                call.state = CallState::Unanswered(None);
             }
         }
-        ended.into_iter().for_each(|(id, n)| self.end(id, n, switch, outcome, false));
+        for (id, attempt) in ended {
+            self.push_attempt_end(id, attempt, switch, outcome, false);
+        }
     }
 
-    /// A switch has died or is cut off: the calls that were sent to it before that are cut.
-    pub fn handle_switch_down(&mut self, now: Micros, switch: ExchangeId, before: Micros) {
-        let cut = |c: &Call| matches!(c.stage, Stage::Standing { switch: s, sent, .. } if s == switch && sent < before);
-        let ids: Vec<CallId> = self.calls.iter().filter(|(_, c)| cut(c)).map(|(id, _)| *id).collect();
+    /// A switch has failed or cannot be reached: releases the calls that it answered and whose set-ups were
+    /// sent before `sent_before`.
+    pub fn handle_switch_down(&mut self, now: Micros, switch: ExchangeId, sent_before: Micros) {
+        let affected = |call: &Call| match call.state {
+            CallState::Answered { switch: answering, sent_at, .. } => {
+                answering == switch && sent_at < sent_before
+            }
+            CallState::Unanswered(_) => false,
+        };
+        let ids: Vec<CallId> =
+            self.calls.iter().filter(|(_, call)| affected(call)).map(|(id, _)| *id).collect();
         for id in ids {
-            // Cut off is not dead: if the switch is there again, it must not think that the call stands.
-            if let Some(tag) = self.calls.get(&id).map(|c| c.tag) {
-                self.give_up(tag, switch);
+            // The switch may only be cut off. When it is back, it must not keep the call up.
+            if let Some(tag) = self.calls.get(&id).map(|call| call.tag) {
+                self.release_at_switch(tag, switch);
             }
-            self.over(now, id, cause::TEMPORARY_FAILURE, Outcome::Reset, Report::default());
+            self.end_answered_call(now, id, cause::TEMPORARY_FAILURE, Outcome::Reset, Report::default());
         }
     }
 
-    /// News of the list of switches.
+    /// Takes a list of switches, or changes to it.
     pub fn handle_switch_list(&mut self, list: List) {
-        self.events.push(Event::List(list));
+        self.pending_events.push(Event::List(list));
     }
 
-    /// A call that stood is over: its caller is told.
-    fn over(&mut self, now: Micros, id: CallId, cause: u8, outcome: Outcome, report: Report) {
-        let Some(call) = self.take(now, id) else { return };
-        let Stage::Standing { switch, attempt, .. } = call.stage else { return };
-        self.commands.push(Command::ReleaseToCaller { connection: Some(call.origin), tag: call.tag, cause });
-        let (call, exchange, cause, closed) = (id, switch, Cause::None, true);
-        self.events.push(Event::Ended(End { call, attempt, exchange, outcome, cause, closed, report }));
+    /// Removes an answered call and releases it towards its caller.
+    fn end_answered_call(&mut self, now: Micros, id: CallId, cause: u8, outcome: Outcome, report: Report) {
+        let Some(call) = self.remove_call(now, id) else { return };
+        let CallState::Answered { switch, attempt, .. } = call.state else { return };
+        self.commands.push(Command::ReleaseToCaller {
+            connection: Some(call.connection),
+            tag: call.tag,
+            cause,
+        });
+        self.pending_events.push(Event::Ended(End {
+            call: id,
+            attempt,
+            exchange: switch,
+            outcome,
+            cause: Cause::None,
+            closed: true,
+            report,
+        }));
     }
 
-    // Time and the module.
+    // Timers and the controller.
 
     /// When the next batch or timer is due.
     pub fn next_deadline(&self) -> Option<Micros> {
-        let batch = (!self.events.is_empty()).then_some(self.next_batch);
+        let batch = (!self.pending_events.is_empty()).then_some(self.next_batch_at);
         [batch, self.timers.next_deadline()].into_iter().flatten().min()
     }
 
-    /// A timer of call control is due.
-    pub fn handle_timer(&mut self, now: Micros, due: TimerEvent) {
-        match due {
-            TimerEvent::ControllerWakeUp { token } => self.events.push(Event::Timer(token)),
+    /// Handles an expired timer of call control; those of the network code are ignored.
+    pub fn handle_timer(&mut self, now: Micros, event: TimerEvent) {
+        match event {
+            TimerEvent::ControllerWakeUp { token } => self.pending_events.push(Event::Timer(token)),
             TimerEvent::AttemptTimeout { call: id, attempt: number } => {
                 let Some(call) = self.calls.get_mut(&id) else { return };
-                let Stage::Open(Some(a)) = &call.stage else { return };
-                if a.number == number {
-                    let (tag, switch) = (call.tag, a.switch);
-                    call.stage = Stage::Open(None);
-                    self.give_up(tag, switch);
-                    self.end(id, number, switch, Outcome::TimedOut, false);
+                let CallState::Unanswered(Some(attempt)) = &call.state else { return };
+                if attempt.number == number {
+                    let tag = call.tag;
+                    let switch = attempt.switch;
+                    call.state = CallState::Unanswered(None);
+                    self.release_at_switch(tag, switch);
+                    self.push_attempt_end(id, number, switch, Outcome::TimedOut, false);
                 }
             }
             TimerEvent::ProbeTimeout(tag) => self.handle_probe_result(now, tag, false, Report::default()),
@@ -599,122 +690,140 @@
         }
     }
 
-    /// Hands the module what came since the last batch, if it is time for one, and carries out its actions.
+    /// Passes the events since the last batch to the controller, if a batch is due, and executes its actions.
     ///
-    /// As on the simulator's wire, all events of a batch come at its time, in their order of arrival, at least
-    /// a step after the last one; the actions take effect after the last event, in order; what they bring about
-    /// at once is an event of the next batch.
+    /// Batches have the properties that the simulator's protocol gives them: all events of a batch have its
+    /// time and come in order of arrival; it starts at least the batch interval after the last one; the
+    /// actions are executed after its last event, in order; events that they cause at once are part of the
+    /// next batch.
     pub fn run_batch(&mut self, now: Micros) {
-        if self.events.is_empty() || now < self.next_batch {
+        if self.pending_events.is_empty() || now < self.next_batch_at {
             return;
         }
-        self.next_batch = now + self.step;
-        for event in std::mem::take(&mut self.events) {
-            self.module.handle(now, event, &mut self.actions);
+        self.next_batch_at = now + self.batch_interval;
+        for event in std::mem::take(&mut self.pending_events) {
+            self.controller.handle(now, event, &mut self.actions);
         }
-        self.act(now);
-        while self.over_order.front().is_some_and(|o| o.0 <= now)
-            || self.over.len() > MOST_REMEMBERED * self.limits.max_calls
+        self.execute_actions(now);
+        while self.ended_tag_expiries.front().is_some_and(|expiry| expiry.expires_at <= now)
+            || self.ended_tags.len() > MAX_ENDED_TAGS_PER_CALL * self.limits.max_calls
         {
-            let Some((_, tag)) = self.over_order.pop_front() else { break };
-            self.over.remove(&tag);
+            let Some(expiry) = self.ended_tag_expiries.pop_front() else { break };
+            self.ended_tags.remove(&expiry.tag);
         }
     }
 
-    fn act(&mut self, now: Micros) {
+    fn execute_actions(&mut self, now: Micros) {
         for action in std::mem::take(&mut self.actions) {
             match action {
-                Action::Send { call, exchange, timeout } => self.send(now, call, exchange, timeout),
-                Action::Refuse { call, back_off } => self.reject(now, call, cause::CONGESTION, back_off),
-                Action::Fail(call) => self.reject(now, call, cause::TEMPORARY_FAILURE, 0),
-                Action::Cancel { call, attempt } => {
-                    let Some(c) = self.calls.get_mut(&call) else { continue };
-                    let Stage::Open(Some(a)) = &c.stage else { continue };
-                    if a.number == attempt {
-                        let (tag, switch) = (c.tag, a.switch);
-                        c.stage = Stage::Open(None);
-                        self.give_up(tag, switch);
-                        self.end(call, attempt, switch, Outcome::Cancelled, false);
+                Action::Send { call, exchange, timeout } => self.send_attempt(now, call, exchange, timeout),
+                Action::Refuse { call, back_off } => {
+                    self.reject_call(now, call, cause::CONGESTION, back_off);
+                }
+                Action::Fail(call) => self.reject_call(now, call, cause::TEMPORARY_FAILURE, 0),
+                Action::Cancel { call: id, attempt: number } => {
+                    let Some(call) = self.calls.get_mut(&id) else { continue };
+                    let CallState::Unanswered(Some(attempt)) = &call.state else { continue };
+                    if attempt.number == number {
+                        let tag = call.tag;
+                        let switch = attempt.switch;
+                        call.state = CallState::Unanswered(None);
+                        self.release_at_switch(tag, switch);
+                        self.push_attempt_end(id, number, switch, Outcome::Cancelled, false);
                     }
                 }
                 Action::Probe(switch) => {
-                    self.last_probe = self.last_probe.wrapping_add(1);
-                    let tag = self.last_probe;
-                    self.probes.insert(tag, (switch, now));
-                    self.timers.push(now + PROBE_WAIT, TimerEvent::ProbeTimeout(tag));
+                    self.last_probe_tag = self.last_probe_tag.wrapping_add(1);
+                    let tag = self.last_probe_tag;
+                    self.probes.insert(tag, Probe { switch, sent_at: now });
+                    self.timers.push(now + PROBE_TIMEOUT, TimerEvent::ProbeTimeout(tag));
                     self.commands.push(Command::Probe { switch, tag });
                 }
-                // Changes to the list come unasked on the control feed.
+                // The control feed sends changes to the list without being asked.
                 Action::Subscribe => {}
                 Action::Timer { after, token } => {
-                    self.timers
-                        .push(now.saturating_add(after.max(0)), TimerEvent::ControllerWakeUp { token });
+                    let deadline = now.saturating_add(after.max(0));
+                    self.timers.push(deadline, TimerEvent::ControllerWakeUp { token });
                 }
-                Action::Log(line) => self.log(line),
+                Action::Log(line) => self.commands.push(Command::Log(line)),
             }
         }
     }
 
-    fn send(&mut self, now: Micros, id: CallId, switch: ExchangeId, timeout: Micros) {
+    fn send_attempt(&mut self, now: Micros, id: CallId, switch: ExchangeId, timeout: Micros) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let number = call.attempts;
-        call.attempts += 1;
-        if !matches!(call.stage, Stage::Open(None)) {
-            // Two attempts at once never happen, whatever was decided on an older view of the call.
-            return self.end(id, number, switch, Outcome::NotSent, true);
+        let number = call.next_attempt;
+        call.next_attempt += 1;
+        if !matches!(call.state, CallState::Unanswered(None)) {
+            // A call never has two attempts out, even if the controller decided before it knew of the first.
+            return self.push_attempt_end(id, number, switch, Outcome::NotSent, true);
         }
-        call.stage = Stage::Open(Some(Attempt { number, switch, sent: now }));
-        let deadline = now.saturating_add(timeout).min(call.give_up_at);
-        let class = self.names.classes.get(call.class).cloned().unwrap_or_default();
-        let (tag, called_number, description) = (call.tag, call.called.clone(), call.description.clone());
-        self.commands.push(Command::SetUp { switch, tag, class, called_number, deadline, description });
+        call.state = CallState::Unanswered(Some(Attempt { number, switch, sent_at: now }));
+        let deadline = now.saturating_add(timeout).min(call.caller_deadline);
+        self.commands.push(Command::SetUp {
+            switch,
+            tag: call.tag,
+            class: self.names.classes.get(call.class_index).cloned().unwrap_or_default(),
+            called_number: call.called_number.clone(),
+            deadline,
+            description: call.description.clone(),
+        });
         self.timers.push(deadline, TimerEvent::AttemptTimeout { call: id, attempt: number });
     }
 
-    /// The one final answer of a call that does not stand. One that stands by now has had its answer.
-    fn reject(&mut self, now: Micros, id: CallId, cause: u8, back_off: Micros) {
-        if !self.calls.get(&id).is_some_and(|c| matches!(c.stage, Stage::Open(_))) {
+    /// Gives an unanswered call its final answer. A call that has been answered in the meantime is left
+    /// alone.
+    fn reject_call(&mut self, now: Micros, id: CallId, cause: u8, back_off: Micros) {
+        if !self.calls.get(&id).is_some_and(|call| matches!(call.state, CallState::Unanswered(_))) {
             return;
         }
-        let Some(call) = self.take(now, id) else { return };
-        if let Stage::Open(Some(a)) = call.stage {
-            self.give_up(call.tag, a.switch);
+        let Some(call) = self.remove_call(now, id) else { return };
+        if let CallState::Unanswered(Some(attempt)) = call.state {
+            self.release_at_switch(call.tag, attempt.switch);
         }
-        self.commands.push(Command::Reject { connection: call.origin, tag: call.tag, cause, back_off });
+        self.commands.push(Command::Reject { connection: call.connection, tag: call.tag, cause, back_off });
     }
 
-    /// Takes a call out of the table: the one place where it is given back.
-    fn take(&mut self, now: Micros, id: CallId) -> Option<Call> {
+    /// Removes a call from the call table. All calls are removed here, so that their tags and their share of
+    /// the description bytes are always freed.
+    fn remove_call(&mut self, now: Micros, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
-        self.tags.remove(&call.tag);
-        self.held -= call.description.as_ref().map_or(0, String::len);
-        self.remember(now, call.tag);
+        self.call_ids.remove(&call.tag);
+        self.description_bytes -= call.description.as_ref().map_or(0, String::len);
+        self.record_ended_tag(now, call.tag);
         Some(call)
     }
 
-    fn remember(&mut self, now: Micros, tag: Tag) {
-        if self.over.insert(tag, now).is_none() {
-            self.over_order.push_back((now + REMEMBERED, tag));
+    fn record_ended_tag(&mut self, now: Micros, tag: Tag) {
+        if self.ended_tags.insert(tag, now).is_none() {
+            self.ended_tag_expiries.push_back(EndedTagExpiry { expires_at: now + ENDED_TAG_RETENTION, tag });
         }
     }
 
-    fn give_up(&mut self, tag: Tag, switch: ExchangeId) {
+    fn release_at_switch(&mut self, tag: Tag, switch: ExchangeId) {
         self.commands.push(Command::ReleaseAtSwitch { switch, tag });
     }
 
-    fn end(&mut self, call: CallId, attempt: u32, exchange: ExchangeId, outcome: Outcome, closed: bool) {
-        let (cause, report) = (Cause::None, Report::default());
-        self.events.push(Event::Ended(End { call, attempt, exchange, outcome, cause, closed, report }));
-    }
-
-    fn log(&mut self, line: String) {
-        self.commands.push(Command::Log(line));
+    /// Reports the end of an attempt to the controller. `closed` tells it that there is nothing more to do
+    /// for the call.
+    fn push_attempt_end(
+        &mut self, call: CallId, attempt: u32, exchange: ExchangeId, outcome: Outcome, closed: bool,
+    ) {
+        self.pending_events.push(Event::Ended(End {
+            call,
+            attempt,
+            exchange,
+            outcome,
+            cause: Cause::None,
+            closed,
+            report: Report::default(),
+        }));
     }
 
-    /// Ends all calls that still wait: the program stops before their time-outs would.
+    /// Rejects all unanswered calls, because the program stops before they would time out.
     pub fn fail_unanswered_calls(&mut self, now: Micros) {
-        let open: Vec<CallId> = self.calls.keys().copied().collect();
-        open.into_iter().for_each(|id| self.reject(now, id, cause::TEMPORARY_FAILURE, 0));
+        let ids: Vec<CallId> = self.calls.keys().copied().collect();
+        ids.into_iter().for_each(|id| self.reject_call(now, id, cause::TEMPORARY_FAILURE, 0));
     }
 }
 
@@ -725,16 +834,16 @@
     use crate::settings::{build, flatten};
 
     const MS: Micros = 1_000;
-    const ORIGIN: ConnectionId = ConnectionId(1);
-    const FAR: ExchangeId = ExchangeId(11);
+    const CALLER: ConnectionId = ConnectionId(1);
+    const SWITCH: ExchangeId = ExchangeId(11);
 
-    /// Call control of exchange 0 that knows exchange 1, with room toward it, at a time of ten seconds.
-    struct Rig {
+    /// Call control of exchange 0 that knows a switch of exchange 1 with free circuits, at a time of 10 s.
+    struct Fixture {
         call_control: CallControl,
         now: Micros,
     }
 
-    impl Rig {
+    impl Fixture {
         fn new() -> Self {
             let config: serde_json::Value =
                 serde_json::from_str(include_str!("../tests/exchanges/config.json")).unwrap();
@@ -755,195 +864,210 @@
                 up_since: None,
             });
             call_control.handle_switch_list(List::Full(listed.into()));
-            call_control
-                .handle_load_report(FAR, Report { free: Some(9.0), size: Some(9.0), ..Report::default() });
-            let mut rig = Rig { call_control, now };
-            assert_eq!(rig.turn(), []);
-            rig
+            let report = Report { free: Some(9.0), size: Some(9.0), ..Report::default() };
+            call_control.handle_load_report(SWITCH, report);
+            let mut fixture = Fixture { call_control, now };
+            assert_eq!(fixture.run_iteration(), []);
+            fixture
         }
 
-        /// A turn: what is due, a batch, and the commands that came of it.
-        fn turn(&mut self) -> Vec<Command> {
-            while let Some(due) = self.call_control.timers.pop_due(self.now) {
-                self.call_control.handle_timer(self.now, due);
+        fn run_due_timers(&mut self) {
+            while let Some(event) = self.call_control.timers.pop_due(self.now) {
+                self.call_control.handle_timer(self.now, event);
             }
+        }
+
+        /// Runs the due timers and a batch, as one iteration of the event loop does; returns the commands.
+        fn run_iteration(&mut self) -> Vec<Command> {
+            self.run_due_timers();
             self.call_control.run_batch(self.now);
             std::mem::take(&mut self.call_control.commands)
         }
 
-        /// Turns in steps of a millisecond until one has commands.
-        fn until_said(&mut self) -> Vec<Command> {
+        /// Runs an iteration each millisecond until one has commands.
+        fn run_until_commands(&mut self) -> Vec<Command> {
             for _ in 0..10_000 {
                 self.now += MS;
-                let commands = self.turn();
+                let commands = self.run_iteration();
                 if !commands.is_empty() {
                     return commands;
                 }
             }
-            panic!("nothing is said any more");
+            panic!("no command within 10 s");
         }
 
-        fn call(&mut self, tag: Tag, caller_timeout: Micros) -> Vec<Command> {
-            let (class, called_number) = ("check".into(), format!("n{tag}"));
-            let (destination, circuits, via) = (1, 1.0, -1);
-            let new = SetUp {
+        fn set_up_call(&mut self, tag: Tag, caller_timeout: Micros) -> Vec<Command> {
+            let set_up = SetUp {
                 tag,
-                class,
-                called_number,
+                class: "check".into(),
+                called_number: format!("n{tag}"),
                 caller_timeout,
-                destination,
-                circuits,
-                via,
+                destination: 1,
+                circuits: 1.0,
+                via: -1,
                 ..SetUp::default()
             };
-            self.call_control.handle_set_up(self.now, ORIGIN, new).unwrap();
+            self.call_control.handle_set_up(self.now, CALLER, set_up).unwrap();
             self.now += 10 * MS;
-            self.turn()
+            self.run_iteration()
         }
 
-        fn stands(&mut self, tag: Tag) {
-            let sent = self.call(tag, 3000 * MS);
-            assert!(matches!(sent[..], [Command::SetUp { .. }]), "{sent:?}");
-            self.call_control.handle_answer(self.now, FAR, tag, None);
-            assert_eq!(self.turn(), [Command::Answer { connection: ORIGIN, tag, description: None }]);
+        fn set_up_answered_call(&mut self, tag: Tag) {
+            let commands = self.set_up_call(tag, 3000 * MS);
+            assert!(matches!(commands[..], [Command::SetUp { .. }]), "{commands:?}");
+            self.call_control.handle_answer(self.now, SWITCH, tag, None);
+            assert_eq!(
+                self.run_iteration(),
+                [Command::Answer { connection: CALLER, tag, description: None }]
+            );
         }
     }
 
+    /// The controller gives a call up 10 ms before its caller does. A batch may contain both the answer and
+    /// the timer of the give-up; the caller must not get a reject after the answer.
     #[test]
-    fn an_answer_that_came_in_time_is_the_only_one_whatever_its_batch_decides() {
-        let mut rig = Rig::new();
-        rig.call(1, 300 * MS);
-        // The module's own limit, 10 ms before the caller's, is due in the turn in which the answer comes.
-        rig.now += 285 * MS;
-        while let Some(due) = rig.call_control.timers.pop_due(rig.now) {
-            rig.call_control.handle_timer(rig.now, due);
-        }
-        rig.call_control.handle_answer(rig.now, FAR, 1, None);
-        assert_eq!(rig.turn(), [Command::Answer { connection: ORIGIN, tag: 1, description: None }]);
-        assert_eq!(rig.call_control.unanswered_count(), 0);
+    fn answer_in_the_same_batch_as_the_give_up_is_the_only_final_answer() {
+        let mut fixture = Fixture::new();
+        fixture.set_up_call(1, 300 * MS);
+        fixture.now += 285 * MS;
+        fixture.run_due_timers();
+        fixture.call_control.handle_answer(fixture.now, SWITCH, 1, None);
+        assert_eq!(
+            fixture.run_iteration(),
+            [Command::Answer { connection: CALLER, tag: 1, description: None }]
+        );
+        assert_eq!(fixture.call_control.unanswered_count(), 0);
     }
 
     #[test]
-    fn what_is_given_up_is_told_to_the_switch_first_and_its_late_answer_does_not_stand() {
-        let mut rig = Rig::new();
-        rig.call(1, 300 * MS);
-        let said = rig.until_said();
+    fn call_given_up_is_released_at_the_switch_before_the_reject_and_again_after_a_late_answer() {
+        let mut fixture = Fixture::new();
+        fixture.set_up_call(1, 300 * MS);
+        let commands = fixture.run_until_commands();
         let reject =
-            Command::Reject { connection: ORIGIN, tag: 1, cause: cause::TEMPORARY_FAILURE, back_off: 0 };
-        assert_eq!(said, [Command::ReleaseAtSwitch { switch: FAR, tag: 1 }, reject]);
-        rig.call_control.handle_answer(rig.now, FAR, 1, None);
-        assert_eq!(rig.turn(), [Command::ReleaseAtSwitch { switch: FAR, tag: 1 }]);
+            Command::Reject { connection: CALLER, tag: 1, cause: cause::TEMPORARY_FAILURE, back_off: 0 };
+        assert_eq!(commands, [Command::ReleaseAtSwitch { switch: SWITCH, tag: 1 }, reject]);
+        fixture.call_control.handle_answer(fixture.now, SWITCH, 1, None);
+        assert_eq!(fixture.run_iteration(), [Command::ReleaseAtSwitch { switch: SWITCH, tag: 1 }]);
     }
 
     #[test]
-    fn after_a_reset_the_call_waits_for_the_release_and_goes_out_once() {
-        let mut rig = Rig::new();
-        rig.call(1, 3000 * MS);
-        rig.call_control.handle_connection_lost(FAR, rig.now);
-        let reset_at = rig.now;
-        let said = rig.until_said();
-        assert!(matches!(said[..], [Command::SetUp { tag: 1, .. }]), "{said:?}");
-        assert!(rig.now - reset_at >= 500 * MS);
-        // The module's view may lag: a second attempt beside the one that is out is never sent.
-        rig.call_control.send(rig.now, CallId(1), FAR, MS);
-        assert_eq!(std::mem::take(&mut rig.call_control.commands), []);
+    fn call_whose_connection_is_reset_is_repeated_once_after_the_release_time() {
+        let mut fixture = Fixture::new();
+        fixture.set_up_call(1, 3000 * MS);
+        fixture.call_control.handle_connection_lost(SWITCH, fixture.now);
+        let reset_at = fixture.now;
+        let commands = fixture.run_until_commands();
+        assert!(matches!(commands[..], [Command::SetUp { tag: 1, .. }]), "{commands:?}");
+        assert!(fixture.now - reset_at >= 500 * MS);
+        // The controller may decide on an older state of the call: no second attempt is sent beside the
+        // first.
+        fixture.call_control.send_attempt(fixture.now, CallId(1), SWITCH, MS);
+        assert_eq!(std::mem::take(&mut fixture.call_control.commands), []);
     }
 
     #[test]
-    fn batches_keep_their_distance_and_hold_what_came_meanwhile() {
-        let mut rig = Rig::new();
-        rig.call_control.handle_load_report(FAR, Report { free: Some(8.0), ..Report::default() });
-        rig.now += MS;
-        rig.turn();
-        assert_eq!(
-            (rig.call_control.events.len(), rig.call_control.next_deadline()),
-            (1, Some(rig.now + 4 * MS))
-        );
-        rig.now += 4 * MS;
-        rig.turn();
-        assert_eq!(rig.call_control.events.len(), 0);
+    fn events_wait_until_the_batch_interval_has_passed() {
+        let mut fixture = Fixture::new();
+        let report = Report { free: Some(8.0), ..Report::default() };
+        fixture.call_control.handle_load_report(SWITCH, report);
+        fixture.now += MS;
+        fixture.run_iteration();
+        assert_eq!(fixture.call_control.pending_events.len(), 1);
+        assert_eq!(fixture.call_control.next_deadline(), Some(fixture.now + 4 * MS));
+        fixture.now += 4 * MS;
+        fixture.run_iteration();
+        assert_eq!(fixture.call_control.pending_events.len(), 0);
     }
 
     #[test]
-    fn a_switch_that_died_takes_the_calls_with_it_that_were_sent_before() {
-        let mut rig = Rig::new();
-        rig.stands(1);
-        rig.now += 100 * MS;
-        let died = rig.now;
-        rig.now += 100 * MS;
-        rig.stands(2);
-        rig.call_control.handle_switch_down(rig.now, FAR, died);
+    fn switch_failure_ends_the_answered_calls_that_were_sent_before_it() {
+        let mut fixture = Fixture::new();
+        fixture.set_up_answered_call(1);
+        fixture.now += 100 * MS;
+        let failed_at = fixture.now;
+        fixture.now += 100 * MS;
+        fixture.set_up_answered_call(2);
+        fixture.call_control.handle_switch_down(fixture.now, SWITCH, failed_at);
         let release =
-            Command::ReleaseToCaller { connection: Some(ORIGIN), tag: 1, cause: cause::TEMPORARY_FAILURE };
-        assert_eq!(rig.turn(), [Command::ReleaseAtSwitch { switch: FAR, tag: 1 }, release]);
-        assert!(rig.call_control.has_calls_at(FAR), "the other one stands");
+            Command::ReleaseToCaller { connection: Some(CALLER), tag: 1, cause: cause::TEMPORARY_FAILURE };
+        assert_eq!(fixture.run_iteration(), [Command::ReleaseAtSwitch { switch: SWITCH, tag: 1 }, release]);
+        assert!(fixture.call_control.has_calls_at(SWITCH), "the second call is still up");
     }
 
     #[test]
-    fn the_end_of_an_unknown_call_is_passed_on_once_and_remembered_for_a_while() {
-        let mut rig = Rig::new();
-        let end = || Release { cause: cause::NORMAL_CLEARING, note: Cause::None, report: Report::default() };
-        let release = Command::ReleaseToCaller { connection: None, tag: 5, cause: cause::NORMAL_CLEARING };
-        rig.call_control.handle_switch_release(rig.now, FAR, 5, end());
-        rig.call_control.handle_switch_release(rig.now, FAR, 5, end());
-        rig.call_control.handle_caller_release(rig.now, 5);
-        assert_eq!(rig.turn(), [release]);
-        rig.now += REMEMBERED + MS;
-        rig.turn();
-        assert!(rig.call_control.over.is_empty() && rig.call_control.over_order.is_empty());
+    fn release_of_an_unknown_call_is_passed_on_once_and_its_tag_is_kept_for_the_retention_time() {
+        let mut fixture = Fixture::new();
+        let release =
+            || Release { cause: cause::NORMAL_CLEARING, note: Cause::None, report: Report::default() };
+        let command = Command::ReleaseToCaller { connection: None, tag: 5, cause: cause::NORMAL_CLEARING };
+        fixture.call_control.handle_switch_release(fixture.now, SWITCH, 5, release());
+        fixture.call_control.handle_switch_release(fixture.now, SWITCH, 5, release());
+        fixture.call_control.handle_caller_release(fixture.now, 5);
+        assert_eq!(fixture.run_iteration(), [command]);
+        fixture.now += ENDED_TAG_RETENTION + MS;
+        fixture.run_iteration();
+        assert!(fixture.call_control.ended_tags.is_empty());
+        assert!(fixture.call_control.ended_tag_expiries.is_empty());
     }
 
     #[test]
-    fn a_full_table_refuses_without_asking_the_module() {
-        let mut rig = Rig::new();
-        rig.call_control.limits.max_calls = 1;
-        rig.call(1, 3000 * MS);
-        let (connection, tag, cause, back_off) = (ORIGIN, 2, cause::CONGESTION, OVERFULL_BACK_OFF);
-        assert_eq!(rig.call(2, 3000 * MS), [Command::Reject { connection, tag, cause, back_off }]);
+    fn set_up_is_rejected_without_the_controller_when_the_call_table_is_full() {
+        let mut fixture = Fixture::new();
+        fixture.call_control.limits.max_calls = 1;
+        fixture.set_up_call(1, 3000 * MS);
+        let reject = Command::Reject {
+            connection: CALLER,
+            tag: 2,
+            cause: cause::CONGESTION,
+            back_off: CONGESTION_BACK_OFF,
+        };
+        assert_eq!(fixture.set_up_call(2, 3000 * MS), [reject]);
     }
 
+    /// The descriptions of unanswered calls take memory: their total is limited, and the bytes of a call no
+    /// longer count once it is answered or released.
     #[test]
-    fn descriptions_of_open_calls_are_bounded_and_given_back() {
-        // Guards the memory: what open calls hold of it is counted, and no longer counted once they are answered.
-        let mut rig = Rig::new();
-        rig.call_control.limits.max_description_bytes = 10;
-        let set_up = |rig: &mut Rig, tag: Tag| {
-            let description = Some("v=0 s=-".to_string());
-            let new = SetUp {
+    fn description_bytes_of_unanswered_calls_are_limited() {
+        let mut fixture = Fixture::new();
+        fixture.call_control.limits.max_description_bytes = 10;
+        let set_up_call = |fixture: &mut Fixture, tag: Tag| {
+            let set_up = SetUp {
                 tag,
                 class: "check".into(),
                 called_number: "n".into(),
                 caller_timeout: 3000 * MS,
+                destination: 1,
+                circuits: 1.0,
+                description: Some("v=0 s=-".to_string()),
                 ..SetUp::default()
             };
-            rig.call_control
-                .handle_set_up(rig.now, ORIGIN, SetUp { destination: 1, circuits: 1.0, description, ..new })
-                .unwrap();
-            rig.now += 10 * MS;
-            rig.turn()
+            fixture.call_control.handle_set_up(fixture.now, CALLER, set_up).unwrap();
+            fixture.now += 10 * MS;
+            fixture.run_iteration()
         };
-        assert!(matches!(set_up(&mut rig, 1)[..], [Command::SetUp { tag: 1, .. }]));
-        assert!(matches!(set_up(&mut rig, 2)[..], [Command::Reject { tag: 2, .. }]));
-        rig.call_control.handle_answer(rig.now, FAR, 1, None);
-        rig.turn();
-        assert!(matches!(set_up(&mut rig, 3)[..], [Command::SetUp { tag: 3, .. }]));
-        rig.call_control.handle_caller_release(rig.now, 3);
-        assert_eq!(rig.call_control.held, 0);
+        assert!(matches!(set_up_call(&mut fixture, 1)[..], [Command::SetUp { tag: 1, .. }]));
+        assert!(matches!(set_up_call(&mut fixture, 2)[..], [Command::Reject { tag: 2, .. }]));
+        fixture.call_control.handle_answer(fixture.now, SWITCH, 1, None);
+        fixture.run_iteration();
+        assert!(matches!(set_up_call(&mut fixture, 3)[..], [Command::SetUp { tag: 3, .. }]));
+        fixture.call_control.handle_caller_release(fixture.now, 3);
+        assert_eq!(fixture.call_control.description_bytes, 0);
     }
 
     #[test]
-    fn a_probe_is_answered_once_or_fails_in_time() {
-        let mut rig = Rig::new();
-        rig.call_control.actions.push(Action::Probe(FAR));
-        rig.call_control.act(rig.now);
-        let said = std::mem::take(&mut rig.call_control.commands);
-        let [Command::Probe { switch: FAR, tag }] = said[..] else { panic!("{said:?}") };
-        rig.now += PROBE_WAIT;
-        rig.call_control.handle_timer(rig.now, TimerEvent::ProbeTimeout(tag));
-        rig.call_control.handle_probe_result(rig.now, tag, true, Report::default());
+    fn probe_without_an_answer_times_out_and_a_late_answer_is_ignored() {
+        let mut fixture = Fixture::new();
+        fixture.call_control.actions.push(Action::Probe(SWITCH));
+        fixture.call_control.execute_actions(fixture.now);
+        let commands = std::mem::take(&mut fixture.call_control.commands);
+        let [Command::Probe { switch: SWITCH, tag }] = commands[..] else { panic!("{commands:?}") };
+        fixture.now += PROBE_TIMEOUT;
+        fixture.call_control.handle_timer(fixture.now, TimerEvent::ProbeTimeout(tag));
+        fixture.call_control.handle_probe_result(fixture.now, tag, true, Report::default());
         assert!(matches!(
-            rig.call_control.events[..],
-            [Event::Probed { answered: false, took: PROBE_WAIT, .. }]
+            fixture.call_control.pending_events[..],
+            [Event::Probed { answered: false, took: PROBE_TIMEOUT, .. }]
         ));
     }
 }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,57 +1,66 @@
-//! The clock of the program: whole microseconds on the monotonic clock, read once a turn of the loop.
+//! The program's clock: whole microseconds of monotonic time, read once per iteration of the event loop.
 
 use crate::interface::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What the clock shows at the start. Instants before the start (a switch's, say) stay above nought, which
-/// the module takes for 'never'.
-const BASE: Micros = 86_400_000_000;
+/// The reading at the start of the program: one day. The controller takes a time of 0 for "never", so events
+/// from before the start, such as the start of a switch, must have readings above 0.
+const READING_AT_START: Micros = 86_400_000_000;
+/// Longest time after the start, about 35 years, that is converted to an [`Instant`]. An overflow of an
+/// `Instant` panics, and its range depends on the platform.
+const MAX_INSTANT_OFFSET_US: u64 = 1 << 50;
 
-/// The monotonic clock, and how Unix time lies on it.
+/// A monotonic clock to which Unix times can be converted.
 pub struct Clock {
     start: Instant,
-    /// Unix time at the start, in microseconds. Mapped once: a later step of the system's clock moves nothing.
-    unix_start: Micros,
-    turn: Option<Micros>,
+    /// Unix time at the start. It is read once, so that later adjustments of the system clock have no effect.
+    unix_time_at_start: Micros,
+    /// The reading for this iteration of the event loop.
+    cached_now: Option<Micros>,
 }
 
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
-        Self::at(Instant::now(), unix)
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
+        Self::starting_at(Instant::now(), unix_time)
     }
 
-    fn at(start: Instant, unix: Duration) -> Self {
-        Clock { start, unix_start: Micros::try_from(unix.as_micros()).unwrap_or(0), turn: None }
+    fn starting_at(start: Instant, unix_time: Duration) -> Self {
+        let unix_time_at_start = Micros::try_from(unix_time.as_micros()).unwrap_or(0);
+        Clock { start, unix_time_at_start, cached_now: None }
     }
 
-    /// The time of this turn: read at its first use, the same until [`Clock::end_iteration`].
+    /// The time in this iteration of the event loop: read on first use, then constant until
+    /// [`Clock::end_iteration`].
     pub fn now(&mut self) -> Micros {
         let start = self.start;
-        *self.turn.get_or_insert_with(|| {
-            BASE.saturating_add(Micros::try_from(start.elapsed().as_micros()).unwrap_or(Micros::MAX / 2))
+        *self.cached_now.get_or_insert_with(|| {
+            let elapsed = Micros::try_from(start.elapsed().as_micros()).unwrap_or(Micros::MAX / 2);
+            READING_AT_START.saturating_add(elapsed)
         })
     }
 
-    /// The next use reads the time anew.
+    /// Makes the next call of [`Clock::now`] read the time again.
     pub fn end_iteration(&mut self) {
-        self.turn = None;
+        self.cached_now = None;
     }
 
-    /// The instant at which the clock shows `at`, for the loop's timer.
+    /// The instant at which the clock reads `at`, for the event loop's timer. Earlier times give the start.
     pub fn to_instant(&self, at: Micros) -> Instant {
-        let after = u64::try_from(at.saturating_sub(BASE)).unwrap_or(0).min(1 << 50);
-        self.start + Duration::from_micros(after)
+        let offset_us = u64::try_from(at.saturating_sub(READING_AT_START)).unwrap_or(0);
+        self.start + Duration::from_micros(offset_us.min(MAX_INSTANT_OFFSET_US))
     }
 
-    /// What the clock showed at a Unix millisecond; 0 and what lies too far back is 'the distant past'.
-    pub fn from_unix_ms(&self, ms: i64) -> Option<Micros> {
-        if ms <= 0 {
+    /// Converts a Unix time in milliseconds to a reading of this clock. `None` for 0, for negative values and
+    /// for times a day or more before the start.
+    pub fn from_unix_ms(&self, unix_ms: i64) -> Option<Micros> {
+        if unix_ms <= 0 {
             return None;
         }
-        let at = ms.saturating_mul(1000).saturating_sub(self.unix_start).saturating_add(BASE);
-        (at > 0).then_some(at)
+        let since_start = unix_ms.saturating_mul(1000).saturating_sub(self.unix_time_at_start);
+        let reading = since_start.saturating_add(READING_AT_START);
+        (reading > 0).then_some(reading)
     }
 }
 
@@ -60,18 +69,18 @@
     use super::*;
 
     #[test]
-    fn unix_time_is_mapped_once_and_the_distant_past_is_none() {
-        let clock = Clock::at(Instant::now(), Duration::from_secs(1_000_000));
-        assert_eq!(clock.from_unix_ms(1_000_000_000), Some(BASE));
-        assert_eq!(clock.from_unix_ms(999_995_000), Some(BASE - 5_000_000));
-        for far in [0, -7, 1, i64::MIN] {
-            assert_eq!(clock.from_unix_ms(far), None);
+    fn unix_times_are_converted_and_the_distant_past_is_none() {
+        let clock = Clock::starting_at(Instant::now(), Duration::from_secs(1_000_000));
+        assert_eq!(clock.from_unix_ms(1_000_000_000), Some(READING_AT_START));
+        assert_eq!(clock.from_unix_ms(999_995_000), Some(READING_AT_START - 5_000_000));
+        for unix_ms in [0, -7, 1, i64::MIN] {
+            assert_eq!(clock.from_unix_ms(unix_ms), None);
         }
         assert!(clock.from_unix_ms(i64::MAX).is_some(), "no overflow");
     }
 
     #[test]
-    fn the_time_stays_the_same_until_the_turn_ends() {
+    fn time_is_constant_until_the_iteration_ends() {
         let mut clock = Clock::start();
         let first = clock.now();
         while clock.start.elapsed() < Duration::from_micros(50) {}
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -1,36 +1,44 @@
-//! One queue of everything that is due at some time; the loop has a single timer, set to its head.
+//! A queue of timers. The event loop has one system timer, which it sets to the earliest deadline in the
+//! queue.
 
 use crate::interface::Micros;
 use std::collections::BTreeMap;
 
-/// Things due, the earliest first; those due at the same time come in the order they were put in. Nothing is
-/// withdrawn: whoever takes a thing out looks whether it still matters.
+/// Items ordered by deadline; items with the same deadline keep the order in which they were added. There is
+/// no way to cancel an item: its recipient must check whether it still applies.
 pub struct TimerQueue<T> {
-    queue: BTreeMap<(Micros, u64), T>,
-    put: u64,
+    queue: BTreeMap<Key, T>,
+    last_sequence: u64,
+}
+
+/// The place of an item in the queue. The derived order compares the deadline first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Key {
+    deadline: Micros,
+    sequence: u64,
 }
 
 impl<T> Default for TimerQueue<T> {
     fn default() -> Self {
-        TimerQueue { queue: BTreeMap::new(), put: 0 }
+        TimerQueue { queue: BTreeMap::new(), last_sequence: 0 }
     }
 }
 
 impl<T> TimerQueue<T> {
-    /// Puts in a thing that is due at a time.
-    pub fn push(&mut self, at: Micros, thing: T) {
-        self.put += 1;
-        self.queue.insert((at, self.put), thing);
+    /// Adds an item that is due at `deadline`.
+    pub fn push(&mut self, deadline: Micros, item: T) {
+        self.last_sequence += 1;
+        self.queue.insert(Key { deadline, sequence: self.last_sequence }, item);
     }
 
-    /// When the first thing is due.
+    /// The earliest deadline in the queue.
     pub fn next_deadline(&self) -> Option<Micros> {
-        self.queue.first_key_value().map(|((at, _), _)| *at)
+        self.queue.first_key_value().map(|(key, _)| key.deadline)
     }
 
-    /// Takes out the first thing, if it is due.
+    /// Removes and returns the first item if its deadline is not after `now`.
     pub fn pop_due(&mut self, now: Micros) -> Option<T> {
-        let first = self.queue.first_entry().filter(|e| e.key().0 <= now)?;
+        let first = self.queue.first_entry().filter(|entry| entry.key().deadline <= now)?;
         Some(first.remove())
     }
 }
@@ -40,10 +48,10 @@
     use super::*;
 
     #[test]
-    fn what_is_due_comes_in_order_of_time_and_then_of_entry() {
+    fn due_items_are_ordered_by_deadline_and_then_by_insertion() {
         let mut timers = TimerQueue::default();
-        for (at, name) in [(30, "c"), (10, "a"), (10, "b"), (40, "d")] {
-            timers.push(at, name);
+        for (deadline, name) in [(30, "c"), (10, "a"), (10, "b"), (40, "d")] {
+            timers.push(deadline, name);
         }
         assert_eq!(timers.next_deadline(), Some(10));
         let due: Vec<_> = std::iter::from_fn(|| timers.pop_due(30)).collect();
