--- a/src/bin/wheatpier-adapter.rs
+++ b/src/bin/wheatpier-adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter: hosts instances of the module on the simulator's wire (standard input and output).
+//! The simulator's adapter: runs instances of the controller over standard input and output.
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
@@ -8,8 +8,8 @@
     let output = BufWriter::with_capacity(1 << 20, io::stdout().lock());
     match wheatpier::wire::run_adapter(input, output) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("wheatpier-adapter: {fault}");
+        Err(error) => {
+            eprintln!("wheatpier-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
 //! wheatpier: the call gatekeeper of a mesh of carrier switches.
 //!
-//! [`control::Controller`] takes [`interface::Event`]s and answers with [`interface::Action`]s. It does no
-//! I/O, reads no clock and shares nothing. [`call::Driver`] is the call control round it, which knows no
-//! protocol; [`net`] puts it on sockets, and [`wire`] puts the module on the simulator's wire instead.
+//! [`control::Controller`] makes the decisions: it takes [`interface::Event`]s and returns
+//! [`interface::Action`]s. It does no I/O, reads no clock and shares no state. [`call::Driver`] is the
+//! protocol-independent call control around it, and [`net`] connects that to sockets. [`wire`] runs the
+//! controller by itself, as the simulator's adapter.
 
 pub mod call;
 pub mod clock;
@@ -13,7 +14,7 @@
 pub mod timers;
 pub mod wire;
 
-/// The README's example compiles.
+/// Compiles the example in the README as a documentation test.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 pub struct ReadmeExample;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The gatekeeper's command line.
+//! Command line of the gatekeeper.
 
 use argh::FromArgs;
 use std::path::Path;
@@ -20,20 +20,20 @@
     Version(Version),
 }
 
-/// serve calls until SIGTERM; SIGHUP has the configuration read again
+/// serve calls until SIGTERM or SIGINT; SIGHUP reloads the configuration
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// the configuration file (else BALANCER_CONFIG names it)
+    /// path of the configuration file (default: the value of BALANCER_CONFIG)
     #[argh(option)]
     config: Option<String>,
 }
 
-/// read the configuration, say what is wrong with it and end
+/// check the configuration: print a summary, or the first error
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
-    /// the configuration file (else BALANCER_CONFIG names it)
+    /// path of the configuration file (default: the value of BALANCER_CONFIG)
     #[argh(option)]
     config: Option<String>,
 }
@@ -45,7 +45,7 @@
 
 fn load(path: Option<String>) -> Result<Config, String> {
     let path = path.or_else(|| std::env::var("BALANCER_CONFIG").ok());
-    Config::load(Path::new(&path.ok_or("no configuration: name one by --config or BALANCER_CONFIG")?))
+    Config::load(Path::new(&path.ok_or("no configuration file: use --config or set BALANCER_CONFIG")?))
 }
 
 fn run(command: Subcommand) -> Result<(), String> {
@@ -66,8 +66,8 @@
     let arguments: Arguments = argh::from_env();
     match run(arguments.command) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            net::log(&format!("wheatpier: {problem}"));
+        Err(error) => {
+            net::log(&format!("wheatpier: {error}"));
             ExitCode::FAILURE
         }
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! One builder of the module's [`Settings`]: from the adapter's flat pairs, and from the nested JSON of the
-//! configuration, which is flattened to the same paths first. Unknown keys are ignored.
+//! Reads the controller's [`Settings`] from flat key-value pairs. The adapter receives these pairs directly;
+//! the nested JSON of the configuration file is first flattened to the same paths. Unknown keys are ignored.
 
 use crate::interface::{Class, Group, Micros, Repeat, Report, Settings, Tenant};
 use serde_json::Value;
@@ -9,7 +9,7 @@
 /// Settings by path, such as `services.0.aimS`.
 pub type FlatSettings = BTreeMap<String, String>;
 
-/// Names that the module knows only as indices.
+/// Names from the settings; the controller refers to them by their index only.
 #[derive(Debug)]
 pub struct IndexedNames {
     /// Classes of call.
@@ -20,232 +20,253 @@
     pub zones: Vec<String>,
 }
 
-/// What is wrong with a setting.
+/// A setting that is missing or invalid.
 #[derive(Debug)]
 pub struct SettingError {
-    key: String,
-    what: &'static str,
+    path: String,
+    reason: String,
 }
 
 impl fmt::Display for SettingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.key, self.what)
+        write!(f, "{}: {}", self.path, self.reason)
     }
 }
 
-type Res<T> = Result<T, SettingError>;
+type SettingResult<T> = Result<T, SettingError>;
 
-/// Seconds to microseconds.
+/// Converts seconds to microseconds.
 pub fn seconds_to_micros(seconds: f64) -> Micros {
     (seconds * 1e6).round() as Micros
 }
 
-/// Puts a named value of a load report in its place; unknown names and values that make no sense are left out.
+/// Stores one named value of a load report in its field. Unknown names are ignored; a value that is negative
+/// or not finite is stored as `None`.
 pub fn set_report_value(report: &mut Report, name: &str, value: f64) {
-    let v = (value.is_finite() && value >= 0.0).then_some(value);
+    let valid = (value.is_finite() && value >= 0.0).then_some(value);
     match name {
-        "free" | "x0" => report.free = v,
-        "size" | "x1" => report.size = v,
-        "active" | "inflight" => report.active = v,
-        "waiting" | "queue" => report.waiting = v,
-        "cpu" | "util" => report.busy = v,
-        "avg_ms" | "latency_ms" => report.wait = v.map(|ms| ms * 1000.0),
-        "can_take" | "qps" => report.can_take = v,
-        "hold_back" | "eps" => report.hold_back = v,
+        "free" | "x0" => report.free = valid,
+        "size" | "x1" => report.size = valid,
+        "active" | "inflight" => report.active = valid,
+        "waiting" | "queue" => report.waiting = valid,
+        "cpu" | "util" => report.busy = valid,
+        "avg_ms" | "latency_ms" => report.wait = valid.map(|ms| ms * 1000.0),
+        "can_take" | "qps" => report.can_take = valid,
+        "hold_back" | "eps" => report.hold_back = valid,
         _ => {}
     }
 }
 
-/// Flattens nested JSON to paths: a list of plain values is joined with commas; of a list of objects or lists
-/// the length stands under `.count` and the items under `.0`, `.1` and so on.
+/// Flattens nested JSON to dotted paths. A list of scalars is joined with commas. A list that contains
+/// objects or lists gives its length under `.count` and its items under `.0`, `.1` and so on. Nulls are
+/// omitted.
 pub fn flatten_json(value: &Value) -> FlatSettings {
     let mut pairs = FlatSettings::new();
-    walk("", value, &mut pairs);
+    flatten_into("", value, &mut pairs);
     pairs
 }
 
-fn walk(path: &str, value: &Value, pairs: &mut FlatSettings) {
-    let below = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
+fn flatten_into(path: &str, value: &Value, pairs: &mut FlatSettings) {
+    let child_path = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
     match value {
-        Value::Object(map) => map.iter().for_each(|(key, v)| walk(&below(key), v, pairs)),
-        Value::Array(items) if items.iter().any(|i| i.is_object() || i.is_array()) => {
-            pairs.insert(below("count"), items.len().to_string());
-            items.iter().enumerate().for_each(|(i, v)| walk(&below(&i.to_string()), v, pairs));
+        Value::Object(map) => {
+            map.iter().for_each(|(key, child)| flatten_into(&child_path(key), child, pairs));
+        }
+        Value::Array(items) if items.iter().any(|item| item.is_object() || item.is_array()) => {
+            pairs.insert(child_path("count"), items.len().to_string());
+            for (index, item) in items.iter().enumerate() {
+                flatten_into(&child_path(&index.to_string()), item, pairs);
+            }
         }
         Value::Array(items) => {
-            pairs.insert(path.to_string(), items.iter().filter_map(plain).collect::<Vec<_>>().join(","));
+            let scalars: Vec<_> = items.iter().filter_map(scalar_text).collect();
+            pairs.insert(path.to_string(), scalars.join(","));
         }
         _ => {
-            plain(value).map(|text| pairs.insert(path.to_string(), text));
+            scalar_text(value).map(|text| pairs.insert(path.to_string(), text));
         }
     }
 }
 
-fn plain(value: &Value) -> Option<String> {
+fn scalar_text(value: &Value) -> Option<String> {
     match value {
         Value::Null => None,
-        Value::String(s) => Some(s.clone()),
+        Value::String(text) => Some(text.clone()),
         other => Some(other.to_string()),
     }
 }
 
-struct Info<'a>(&'a FlatSettings);
+/// Typed access to flat settings; each error names the path of the setting.
+struct SettingsReader<'a> {
+    pairs: &'a FlatSettings,
+}
 
-impl<'a> Info<'a> {
-    fn text(&self, key: &str) -> Res<&'a str> {
-        match self.0.get(key) {
-            Some(v) => Ok(v),
-            None => Err(SettingError { key: key.to_string(), what: "missing" }),
+impl<'a> SettingsReader<'a> {
+    fn text(&self, key: &str) -> SettingResult<&'a str> {
+        match self.pairs.get(key) {
+            Some(text) => Ok(text),
+            None => self.error(key, "missing"),
         }
     }
 
-    fn bad<T>(&self, key: &str) -> Res<T> {
-        Err(SettingError { key: key.to_string(), what: "makes no sense" })
+    fn error<T>(&self, key: &str, reason: &str) -> SettingResult<T> {
+        Err(SettingError { path: key.to_string(), reason: reason.to_string() })
     }
 
-    fn number(&self, key: &str) -> Res<f64> {
+    fn number(&self, key: &str) -> SettingResult<f64> {
         match self.text(key)?.parse::<f64>() {
-            Ok(v) if v.is_finite() && v.abs() < 1e12 => Ok(v),
-            _ => self.bad(key),
+            Ok(value) if value.is_finite() && value.abs() < 1e12 => Ok(value),
+            _ => self.error(key, "must be a number between -1e12 and 1e12"),
         }
     }
 
-    fn amount(&self, key: &str) -> Res<f64> {
-        let v = self.number(key)?;
-        if v < 0.0 { self.bad(key) } else { Ok(v) }
+    fn non_negative(&self, key: &str) -> SettingResult<f64> {
+        let value = self.number(key)?;
+        if value < 0.0 { self.error(key, "must not be negative") } else { Ok(value) }
     }
 
-    fn seconds(&self, key: &str) -> Res<Micros> {
-        Ok(seconds_to_micros(self.amount(key)?))
+    fn seconds(&self, key: &str) -> SettingResult<Micros> {
+        Ok(seconds_to_micros(self.non_negative(key)?))
     }
 
-    fn whole(&self, key: &str, least: f64) -> Res<f64> {
+    fn integer(&self, key: &str, min: f64) -> SettingResult<f64> {
         match self.number(key)? {
-            v if v >= least && v.fract() == 0.0 => Ok(v),
-            _ => self.bad(key),
+            value if value >= min && value.fract() == 0.0 => Ok(value),
+            _ => self.error(key, &format!("must be an integer of at least {min}")),
         }
     }
 
-    fn flag(&self, key: &str) -> Res<bool> {
+    fn boolean(&self, key: &str) -> SettingResult<bool> {
         match self.text(key)? {
             "true" | "1" => Ok(true),
             "false" | "0" => Ok(false),
-            _ => self.bad(key),
+            _ => self.error(key, "must be true, false, 1 or 0"),
         }
     }
 
-    fn one_of<T: Copy>(&self, key: &str, words: &[(&str, T)]) -> Res<T> {
-        let t = self.text(key)?;
-        match words.iter().find(|(w, _)| *w == t) {
-            Some((_, v)) => Ok(*v),
-            None => self.bad(key),
+    fn one_of<T: Copy>(&self, key: &str, choices: &[(&str, T)]) -> SettingResult<T> {
+        let text = self.text(key)?;
+        match choices.iter().find(|(name, _)| *name == text) {
+            Some((_, choice)) => Ok(*choice),
+            None => {
+                let names: Vec<_> = choices.iter().map(|(name, _)| *name).collect();
+                self.error(key, &format!("must be one of {}", names.join(", ")))
+            }
         }
     }
 
-    fn count(&self, list: &str) -> Res<usize> {
-        match self.0.get(&format!("{list}.count")) {
-            Some(v) => match v.parse() {
-                Ok(n) if n < 10_000 => Ok(n),
-                _ => self.bad(list),
+    /// Length of a list of objects, from its `.count`. An empty list is an empty text without a `.count`.
+    fn list_length(&self, list: &str) -> SettingResult<usize> {
+        match self.pairs.get(&format!("{list}.count")) {
+            Some(text) => match text.parse() {
+                Ok(length) if length < 10_000 => Ok(length),
+                _ => self.error(list, "must be a list of fewer than 10000 items"),
             },
-            None if self.0.get(list).is_some_and(|v| v.is_empty()) => Ok(0),
-            None => self.text(list).and_then(|_| self.bad(list)),
+            None if self.pairs.get(list).is_some_and(|text| text.is_empty()) => Ok(0),
+            None => self.text(list).and_then(|_| self.error(list, "must be a list of objects")),
         }
     }
 }
 
-/// Builds the settings, and the names that events use.
+/// Builds the controller's settings, and the tables of names that events refer to.
 ///
 /// # Errors
-/// The first setting that is missing or makes no sense, by its path.
+/// The first setting that is missing or invalid, with its path.
 pub fn build_settings(pairs: &FlatSettings) -> Result<(Settings, IndexedNames), SettingError> {
-    let info = Info(pairs);
+    let reader = SettingsReader { pairs };
     let mut names = IndexedNames { classes: vec![], tenants: vec![], zones: vec![] };
     let mut classes = Vec::new();
-    for i in 0..info.count("services")? {
-        let key = |k: &str| format!("services.{i}.{k}");
-        names.classes.push(info.text(&key("name"))?.to_string());
-        let skilled = match pairs.get(&format!("familyInfo.skilledPools.{i}")) {
-            Some(list) => list.split(',').filter_map(|n| n.parse().ok()).collect(),
+    for index in 0..reader.list_length("services")? {
+        let key = |name: &str| format!("services.{index}.{name}");
+        names.classes.push(reader.text(&key("name"))?.to_string());
+        let skilled = match pairs.get(&format!("familyInfo.skilledPools.{index}")) {
+            Some(list) => list.split(',').filter_map(|number| number.parse().ok()).collect(),
             None => vec![],
         };
         classes.push(Class {
-            aim: info.seconds(&key("aimS"))?,
-            worth: info.amount(&key("worth"))?,
-            late_worth: info.amount(&key("lateWorth"))?,
-            repeat: info.one_of(
+            aim: reader.seconds(&key("aimS"))?,
+            worth: reader.non_negative(&key("worth"))?,
+            late_worth: reader.non_negative(&key("lateWorth"))?,
+            repeat: reader.one_of(
                 &key("repeat"),
                 &[("pure", Repeat::Pure), ("token", Repeat::Token), ("side_effect", Repeat::SideEffect)],
             )?,
-            group: info.one_of(
+            group: reader.one_of(
                 &key("group"),
                 &[("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)],
             )?,
-            repeat_window: info.seconds(&key("repeatWindowS"))?,
+            repeat_window: reader.seconds(&key("repeatWindowS"))?,
             skilled,
         });
     }
     if classes.is_empty() {
-        return info.bad("services.count");
+        return reader.error("services.count", "must be at least 1");
     }
     let mut tenants = Vec::new();
-    for i in 0..info.count("tenants")? {
-        names.tenants.push(info.text(&format!("tenants.{i}.name"))?.to_string());
-        tenants.push(Tenant { quota_per_s: info.amount(&format!("tenants.{i}.quotaPerS"))? });
+    for index in 0..reader.list_length("tenants")? {
+        names.tenants.push(reader.text(&format!("tenants.{index}.name"))?.to_string());
+        tenants.push(Tenant { quota_per_s: reader.non_negative(&format!("tenants.{index}.quotaPerS"))? });
     }
-    names.zones = info.text("failureDomains")?.split(',').map(str::to_string).collect();
+    names.zones = reader.text("failureDomains")?.split(',').map(str::to_string).collect();
     let settings = Settings {
-        here: info.whole("familyInfo.here", -1.0)? as i64,
-        agents: info.whole("groupSize", 1.0)? as u32,
-        pools: info.one_of("familyInfo.topology", &[("mesh", false), ("pools", true)])?,
-        must_subscribe: info.one_of("membershipMode", &[("automatic", false), ("subscribe", true)])?,
-        ask_within: info.seconds("rules.askWithinS")?,
+        here: reader.integer("familyInfo.here", -1.0)? as i64,
+        agents: reader.integer("groupSize", 1.0)? as u32,
+        pools: reader.one_of("familyInfo.topology", &[("mesh", false), ("pools", true)])?,
+        must_subscribe: reader.one_of("membershipMode", &[("automatic", false), ("subscribe", true)])?,
+        ask_within: reader.seconds("rules.askWithinS")?,
         classes,
         tenants,
-        over_share_worth: info.amount("overShareWorth")?,
-        release: info.seconds("familyInfo.releaseS")?,
-        resend: info.seconds("familyInfo.resendS")?,
-        step: info.seconds("stepS")?,
-        most_attempts: info.whole("limits.mostTries", 0.0)? as u32,
-        may_cancel: info.flag("limits.cancel")?,
-        may_probe: info.flag("limits.probes")?,
-        probe_price: info.number("prices.probe")?,
-        may_back_off: info.flag("limits.retryAfter")?,
-        longest_back_off: info.seconds("limits.maxRetryAfterS")?,
-        drain_grace: info.seconds("rules.drainGraceS")?,
-        cold_from: info.amount("rules.coldFrom")?,
-        warm_within: info.seconds("rules.warmWithinS")?,
-        tip_multiple: info.amount("rules.tipMultiple")?,
-        fall: info.seconds("rules.fallS")?,
-        far_reports: info.text("reporting.via")? == "answers",
+        over_share_worth: reader.non_negative("overShareWorth")?,
+        release: reader.seconds("familyInfo.releaseS")?,
+        resend: reader.seconds("familyInfo.resendS")?,
+        step: reader.seconds("stepS")?,
+        most_attempts: reader.integer("limits.mostTries", 0.0)? as u32,
+        may_cancel: reader.boolean("limits.cancel")?,
+        may_probe: reader.boolean("limits.probes")?,
+        probe_price: reader.number("prices.probe")?,
+        may_back_off: reader.boolean("limits.retryAfter")?,
+        longest_back_off: reader.seconds("limits.maxRetryAfterS")?,
+        drain_grace: reader.seconds("rules.drainGraceS")?,
+        cold_from: reader.non_negative("rules.coldFrom")?,
+        warm_within: reader.seconds("rules.warmWithinS")?,
+        tip_multiple: reader.non_negative("rules.tipMultiple")?,
+        fall: reader.seconds("rules.fallS")?,
+        far_reports: reader.text("reporting.via")? == "answers",
     };
     Ok((settings, names))
 }
 
-/// The longest time that a caller may say it waits: with some room, the longest deadline that the settings name.
-pub fn max_caller_wait(pairs: &FlatSettings, usual: Micros) -> Micros {
-    let deadlines = pairs.keys().filter(|k| k.starts_with("services.") && k.ends_with(".deadlineS"));
-    deadlines.map(|key| duration_or(pairs, key, usual)).max().map_or(usual, |longest| longest / 2 * 3)
+/// Longest time that a set-up may state as its caller's wait: the longest `deadlineS` of any class plus half
+/// of it as a margin, or `default` where no class has one. An invalid `deadlineS` counts as `default`.
+pub fn max_caller_wait(pairs: &FlatSettings, default: Micros) -> Micros {
+    let deadlines = pairs.keys().filter(|key| key.starts_with("services.") && key.ends_with(".deadlineS"));
+    let longest_deadline = deadlines.map(|key| duration_or(pairs, key, default)).max();
+    longest_deadline.map_or(default, |longest| longest / 2 * 3)
 }
 
-/// The circuits that a call of each class takes; none where the settings don't say.
+/// Circuits that a call of each class takes, in the order of the classes. Empty where the settings don't say;
+/// the list ends at the first value that is not a number.
 pub fn circuits_by_class(pairs: &FlatSettings) -> Vec<f64> {
     let list = pairs.get("familyInfo.circuitsByClass").map_or("", String::as_str);
-    list.split(',').map_while(|w| w.parse().ok()).collect()
+    list.split(',').map_while(|circuits| circuits.parse().ok()).collect()
 }
 
-/// A span of the network side, which the module's settings don't hold.
-pub fn duration_or(pairs: &FlatSettings, key: &str, usual: Micros) -> Micros {
-    amount_or(pairs, key).map_or(usual, seconds_to_micros)
+/// A duration, set in seconds, that only the network side uses and [`Settings`] does not contain; `default`
+/// where it is missing or not a positive number.
+pub fn duration_or(pairs: &FlatSettings, key: &str, default: Micros) -> Micros {
+    positive_number(pairs, key).map_or(default, seconds_to_micros)
 }
 
-/// A count of the network side.
-pub fn count_or(pairs: &FlatSettings, key: &str, usual: usize) -> usize {
-    amount_or(pairs, key).map_or(usual, |n| n as usize)
+/// A count that only the network side uses, rounded down; `default` where it is missing or not a positive
+/// number.
+pub fn count_or(pairs: &FlatSettings, key: &str, default: usize) -> usize {
+    positive_number(pairs, key).map_or(default, |count| count as usize)
 }
 
-fn amount_or(pairs: &FlatSettings, key: &str) -> Option<f64> {
-    pairs.get(key).and_then(|v| v.parse::<f64>().ok()).filter(|v| *v > 0.0 && *v < 1e9)
+/// A number above 0 and below 1e9; anything else is `None`.
+fn positive_number(pairs: &FlatSettings, key: &str) -> Option<f64> {
+    let number = pairs.get(key).and_then(|text| text.parse::<f64>().ok());
+    number.filter(|number| *number > 0.0 && *number < 1e9)
 }
 
 #[cfg(test)]
@@ -253,24 +274,27 @@
     use super::*;
 
     #[test]
-    fn nested_json_is_flattened_to_the_paths_of_the_wire() {
+    fn nested_json_is_flattened_to_the_paths_of_the_adapter() {
         let json =
             r#"{"a":{"b":1.5,"none":null},"l":["x","y"],"e":[],"o":[{"n":"p"}],"s":[[1,2],[]],"t":true}"#;
         let pairs = flatten_json(&serde_json::from_str(json).unwrap());
-        let text: Vec<_> = pairs.iter().map(|(k, v)| format!("{k}={v}")).collect();
+        let text: Vec<_> = pairs.iter().map(|(key, value)| format!("{key}={value}")).collect();
         assert_eq!(text.join(" "), "a.b=1.5 e= l=x,y o.0.n=p o.count=1 s.0=1,2 s.1= s.count=2 t=true");
     }
 
     #[test]
-    fn a_setting_that_is_missing_or_senseless_is_named() {
+    fn missing_and_invalid_settings_are_reported_with_their_path() {
         let mut pairs = FlatSettings::new();
         assert_eq!(build_settings(&pairs).unwrap_err().to_string(), "services: missing");
         pairs.insert("services.count".into(), "-3".into());
-        assert_eq!(build_settings(&pairs).unwrap_err().to_string(), "services: makes no sense");
+        assert_eq!(
+            build_settings(&pairs).unwrap_err().to_string(),
+            "services: must be a list of fewer than 10000 items"
+        );
     }
 
     #[test]
-    fn what_only_the_network_side_reads_may_be_missing_or_odd() {
+    fn missing_or_invalid_network_settings_get_their_default() {
         let pairs: FlatSettings =
             [("a", "0.5"), ("b", "-1"), ("c", "x")].map(|(k, v)| (k.to_string(), v.to_string())).into();
         assert_eq!(["a", "b", "c", "d"].map(|key| duration_or(&pairs, key, 7)), [500_000, 7, 7, 7]);
@@ -278,7 +302,7 @@
     }
 
     #[test]
-    fn bounds_of_a_set_up_come_from_the_settings_where_they_are_named() {
+    fn limits_of_a_set_up_come_from_the_settings_or_the_default() {
         let mut pairs = FlatSettings::new();
         assert_eq!((max_caller_wait(&pairs, 7), circuits_by_class(&pairs)), (7, vec![]));
         for (key, value) in [
@@ -292,15 +316,15 @@
     }
 
     #[test]
-    fn reports_are_read_by_either_set_of_names() {
-        let (mut a, mut b) = (Report::default(), Report::default());
-        [("free", 3.0), ("avg_ms", 2.0), ("new", 1.0)]
-            .iter()
-            .for_each(|(n, v)| set_report_value(&mut a, n, *v));
-        [("x0", 3.0), ("latency_ms", 2.0), ("x1", -1.0)]
-            .iter()
-            .for_each(|(n, v)| set_report_value(&mut b, n, *v));
-        assert_eq!(a, b);
-        assert_eq!((a.free, a.wait, a.size), (Some(3.0), Some(2000.0), None));
+    fn load_reports_are_read_by_either_set_of_names() {
+        let read_report = |values: &[(&str, f64)]| {
+            let mut report = Report::default();
+            values.iter().for_each(|(name, value)| set_report_value(&mut report, name, *value));
+            report
+        };
+        let first = read_report(&[("free", 3.0), ("avg_ms", 2.0), ("new", 1.0)]);
+        let second = read_report(&[("x0", 3.0), ("latency_ms", 2.0), ("x1", -1.0)]);
+        assert_eq!(first, second);
+        assert_eq!((first.free, first.wait, first.size), (Some(3.0), Some(2000.0), None));
     }
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,5 @@
-//! The simulator's wire: reads batches, keeps the instances apart, translates, flushes. It decides nothing.
+//! The simulator's adapter: reads batches of tab-separated lines, passes their events to separate instances
+//! of the controller and writes the actions that these return. It makes no decisions.
 
 use crate::control::Controller;
 use crate::interface::{
@@ -9,7 +10,7 @@
 use std::fmt::{self, Write as _};
 use std::io::{self, BufRead, Write};
 
-/// What was wrong with the input, in one line.
+/// An error in the input or in reading or writing, described in one line.
 #[derive(Debug)]
 pub struct AdapterError(String);
 
@@ -20,165 +21,173 @@
 }
 
 impl From<io::Error> for AdapterError {
-    fn from(e: io::Error) -> Self {
-        AdapterError(format!("input or output failed: {e}"))
+    fn from(error: io::Error) -> Self {
+        AdapterError(format!("I/O error: {error}"))
     }
 }
 
-type Res<T> = Result<T, AdapterError>;
+type AdapterResult<T> = Result<T, AdapterError>;
 
-/// The parts of one line, with the line's number for messages.
-struct Parts<'a> {
-    line: u64,
+/// One input line: its name and the fields not yet read. The line number is for error messages.
+struct Message<'a> {
+    line_number: u64,
     name: &'a str,
-    rest: std::str::Split<'a, char>,
+    fields: std::str::Split<'a, char>,
 }
 
-impl<'a> Parts<'a> {
-    fn new(line: u64, text: &'a str) -> Self {
-        let mut rest = text.split('\t');
-        let name = rest.next().unwrap_or("");
-        Parts { line, name, rest }
+impl<'a> Message<'a> {
+    fn new(line_number: u64, line: &'a str) -> Self {
+        let mut fields = line.split('\t');
+        let name = fields.next().unwrap_or("");
+        Message { line_number, name, fields }
     }
 
-    fn fault<T>(&self, field: &str, what: &str) -> Res<T> {
-        Err(AdapterError(format!("line {}: {}: {field}: {what}", self.line, self.name)))
+    fn error<T>(&self, field: &str, problem: &str) -> AdapterResult<T> {
+        Err(AdapterError(format!("line {}: {}: {field}: {problem}", self.line_number, self.name)))
     }
 
-    fn text(&mut self, field: &str) -> Res<&'a str> {
-        match self.rest.next() {
-            Some(t) => Ok(t),
-            None => self.fault(field, "missing"),
+    fn text(&mut self, field: &str) -> AdapterResult<&'a str> {
+        match self.fields.next() {
+            Some(text) => Ok(text),
+            None => self.error(field, "missing"),
         }
     }
 
-    fn parse<T: std::str::FromStr>(&mut self, field: &str) -> Res<T> {
-        let t = self.text(field)?;
-        match t.parse() {
-            Ok(v) => Ok(v),
-            Err(_) => self.fault(field, "cannot be read"),
+    fn parse<T: std::str::FromStr>(&mut self, field: &str) -> AdapterResult<T> {
+        let text = self.text(field)?;
+        match text.parse() {
+            Ok(value) => Ok(value),
+            Err(_) => self.error(field, "cannot be parsed"),
         }
     }
 
-    fn maybe<T: std::str::FromStr>(&mut self, field: &str) -> Res<Option<T>> {
+    /// Like `parse`; `-` and an empty field are `None`.
+    fn parse_optional<T: std::str::FromStr>(&mut self, field: &str) -> AdapterResult<Option<T>> {
         match self.text(field)? {
             "-" | "" => Ok(None),
-            t => match t.parse() {
-                Ok(v) => Ok(Some(v)),
-                Err(_) => self.fault(field, "cannot be read"),
+            text => match text.parse() {
+                Ok(value) => Ok(Some(value)),
+                Err(_) => self.error(field, "cannot be parsed"),
             },
         }
     }
 
-    fn seconds(&mut self, field: &str) -> Res<Micros> {
-        let v: f64 = self.parse(field)?;
-        if v.is_finite() && v.abs() < 1e12 {
-            Ok(seconds_to_micros(v))
+    fn seconds(&mut self, field: &str) -> AdapterResult<Micros> {
+        let seconds: f64 = self.parse(field)?;
+        if seconds.is_finite() && seconds.abs() < 1e12 {
+            Ok(seconds_to_micros(seconds))
         } else {
-            self.fault(field, "is no time")
+            self.error(field, "must be a number of seconds between -1e12 and 1e12")
         }
     }
 
-    fn flag(&mut self, field: &str) -> Res<bool> {
+    fn boolean(&mut self, field: &str) -> AdapterResult<bool> {
         match self.text(field)? {
             "1" => Ok(true),
             "0" | "-" => Ok(false),
-            _ => self.fault(field, "is neither 1 nor 0"),
+            _ => self.error(field, "must be 1, 0 or -"),
         }
     }
 
-    fn report(&mut self, field: &str) -> Res<Report> {
+    /// A load report, such as `free:3,size:30`; `-` and an empty field are a report without values.
+    fn load_report(&mut self, field: &str) -> AdapterResult<Report> {
         let mut report = Report::default();
         let text = self.text(field)?;
         if text == "-" || text.is_empty() {
             return Ok(report);
         }
         for pair in text.split(',') {
-            let Some((name, value)) = pair.split_once(':') else {
-                return self.fault(field, "holds no name:value pair");
+            let Some((name, text)) = pair.split_once(':') else {
+                return self.error(field, "must be name:value pairs");
             };
-            let Ok(v) = value.parse::<f64>() else {
-                return self.fault(field, "holds a value that cannot be read");
+            let Ok(value) = text.parse::<f64>() else {
+                return self.error(field, "values must be numbers");
             };
-            settings::set_report_value(&mut report, name, v);
+            settings::set_report_value(&mut report, name, value);
         }
         Ok(report)
     }
 }
 
 struct Instance {
-    module: Controller,
+    controller: Controller,
     names: IndexedNames,
 }
 
-type Row = (Listed, String);
+/// A line of a list of exchanges. The zone is kept by name: its index depends on the settings of the instance
+/// that the list is given to.
+struct ListRow {
+    listed: Listed,
+    zone_name: String,
+}
 
 /// Reads batches from `input` until it ends and writes one reply to each.
 ///
 /// # Errors
-/// The first line that cannot be understood, named with its field; nothing of that batch's reply is written.
+/// An I/O error, or the first invalid line, with its number and field; no part of the reply to that line's
+/// batch is written.
 pub fn run_adapter(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut instances: BTreeMap<u64, Instance> = BTreeMap::new();
-    let mut lists: BTreeMap<u64, Vec<Row>> = BTreeMap::new();
-    let mut line = 0;
-    let mut text = String::new();
+    let mut exchange_lists: BTreeMap<u64, Vec<ListRow>> = BTreeMap::new();
+    let mut line_number = 0;
+    let mut line = String::new();
     let mut reply = String::new();
     let mut actions = Vec::new();
     loop {
-        // The head of a batch; the end of input is only in order here.
-        if !next(&mut input, &mut text, &mut line)? {
+        // The input may end between batches only.
+        if !read_line(&mut input, &mut line, &mut line_number)? {
             return Ok(());
         }
-        if text.is_empty() {
+        if line.is_empty() {
             continue;
         }
-        let mut parts = Parts::new(line, &text);
-        if parts.name != "MARK" {
-            return parts.fault("name", "MARK expected");
+        let mut message = Message::new(line_number, &line);
+        if message.name != "MARK" {
+            return message.error("name", "MARK expected");
         }
-        let now = parts.seconds("clock")?;
+        let now = message.seconds("clock")?;
         reply.clear();
         loop {
-            if !next(&mut input, &mut text, &mut line)? {
-                return Err(AdapterError(format!("line {line}: batch: cut short before COMMIT")));
+            if !read_line(&mut input, &mut line, &mut line_number)? {
+                return Err(AdapterError(format!("line {line_number}: batch: input ended before COMMIT")));
             }
-            let mut parts = Parts::new(line, &text);
-            match parts.name {
+            let mut message = Message::new(line_number, &line);
+            match message.name {
                 "COMMIT" => break,
                 "LEDGER" => {
-                    let number: u64 = parts.parse("ref")?;
-                    let count: usize = parts.parse("nodesList")?;
+                    let list_ref: u64 = message.parse("ref")?;
+                    let count: usize = message.parse("nodesList")?;
                     let mut rows = Vec::new();
                     for _ in 0..count {
-                        if !next(&mut input, &mut text, &mut line)? {
+                        if !read_line(&mut input, &mut line, &mut line_number)? {
                             return Err(AdapterError(format!(
-                                "line {line}: LEDGER: cut short before its last ROW"
+                                "line {line_number}: LEDGER: input ended before the last ROW"
                             )));
                         }
-                        rows.push(row(&mut Parts::new(line, &text))?);
+                        rows.push(parse_row(&mut Message::new(line_number, &line))?);
                     }
-                    lists.insert(number, rows);
+                    exchange_lists.insert(list_ref, rows);
                 }
                 "CREATE" => {
-                    let who: u64 = parts.parse("who")?;
-                    let seed: u64 = parts.parse("salt")?;
+                    let instance_id: u64 = message.parse("who")?;
+                    let seed: u64 = message.parse("salt")?;
                     let mut pairs = BTreeMap::new();
-                    for pair in parts.rest.by_ref() {
+                    for pair in message.fields.by_ref() {
                         if let Some((key, value)) = pair.split_once('=') {
                             pairs.insert(key.to_string(), value.to_string());
                         }
                     }
                     let (settings, names) = settings::build_settings(&pairs)
-                        .map_err(|p| AdapterError(format!("line {line}: CREATE: {p}")))?;
+                        .map_err(|error| AdapterError(format!("line {line_number}: CREATE: {error}")))?;
                     actions.clear();
-                    let module = Controller::new(settings, seed, now, &mut actions);
-                    write_actions(&mut reply, who, &actions);
-                    instances.insert(who, Instance { module, names });
+                    let controller = Controller::new(settings, seed, now, &mut actions);
+                    write_actions(&mut reply, instance_id, &actions);
+                    instances.insert(instance_id, Instance { controller, names });
                 }
                 "DETACH" => {
-                    let who: u64 = parts.parse("who")?;
-                    if instances.remove(&who).is_none() {
-                        return parts.fault("who", "no such instance");
+                    let instance_id: u64 = message.parse("who")?;
+                    if instances.remove(&instance_id).is_none() {
+                        return message.error("who", "no such instance");
                     }
                 }
                 "ORDER"
@@ -189,16 +198,16 @@
                 | "ECHO"
                 | "HEARD"
                 | "TOPOLOGY" => {
-                    let who: u64 = parts.parse("who")?;
-                    let Some(instance) = instances.get_mut(&who) else {
-                        return parts.fault("who", "no such instance");
+                    let instance_id: u64 = message.parse("who")?;
+                    let Some(instance) = instances.get_mut(&instance_id) else {
+                        return message.error("who", "no such instance");
                     };
-                    let event = event(&mut parts, &instance.names, &lists)?;
+                    let event = parse_event(&mut message, &instance.names, &exchange_lists)?;
                     actions.clear();
-                    instance.module.handle(now, event, &mut actions);
-                    write_actions(&mut reply, who, &actions);
+                    instance.controller.handle(now, event, &mut actions);
+                    write_actions(&mut reply, instance_id, &actions);
                 }
-                _ => return parts.fault("name", "unknown message"),
+                _ => return message.error("name", "unknown message"),
             }
         }
         reply.push_str("READY\n");
@@ -207,92 +216,95 @@
     }
 }
 
-/// The next line without its end, or false at the end of input.
-fn next(input: &mut impl BufRead, text: &mut String, line: &mut u64) -> Res<bool> {
-    text.clear();
-    *line += 1;
+/// Reads the next line without its line ending; false at the end of input.
+fn read_line(input: &mut impl BufRead, line: &mut String, line_number: &mut u64) -> AdapterResult<bool> {
+    line.clear();
+    *line_number += 1;
     let mut bytes = Vec::new();
     if input.read_until(b'\n', &mut bytes)? == 0 {
         return Ok(false);
     }
     match String::from_utf8(bytes) {
-        Ok(t) => text.push_str(t.trim_end_matches(['\n', '\r'])),
-        Err(_) => return Err(AdapterError(format!("line {line}: text: is not UTF-8"))),
+        Ok(text) => line.push_str(text.trim_end_matches(['\n', '\r'])),
+        Err(_) => return Err(AdapterError(format!("line {line_number}: text: not valid UTF-8"))),
     }
     Ok(true)
 }
 
-fn row(parts: &mut Parts) -> Res<Row> {
-    if parts.name != "ROW" {
-        return parts.fault("name", "ROW expected");
+fn parse_row(message: &mut Message) -> AdapterResult<ListRow> {
+    if message.name != "ROW" {
+        return message.error("name", "ROW expected");
     }
-    let exchange = ExchangeId(parts.parse("exchange")?);
-    let zone = parts.text("rackZone")?.to_string();
-    parts.text("classOfHost")?;
-    let number = parts.parse("pointCode")?;
-    let health = match parts.text("health")? {
+    let exchange = ExchangeId(message.parse("exchange")?);
+    let zone_name = message.text("rackZone")?.to_string();
+    message.text("classOfHost")?;
+    let number = message.parse("pointCode")?;
+    let health = match message.text("health")? {
         "in_service" => Health::InService,
         "terminating" => Health::Draining,
         "terminated" => Health::Gone,
-        _ => return parts.fault("health", "unknown word"),
+        _ => return message.error("health", "unknown value"),
     };
-    parts.maybe::<f64>("capacityHint")?;
-    let up: Option<f64> = parts.maybe("cameUpS")?;
-    let up_since = up.filter(|s| *s > 0.0).map(seconds_to_micros);
-    Ok((Listed { exchange, zone: 0, number, health, up_since }, zone))
+    message.parse_optional::<f64>("capacityHint")?;
+    let started_s: Option<f64> = message.parse_optional("cameUpS")?;
+    let up_since = started_s.filter(|seconds| *seconds > 0.0).map(seconds_to_micros);
+    Ok(ListRow { listed: Listed { exchange, zone: 0, number, health, up_since }, zone_name })
 }
 
-/// The place of a name among those of the settings; `-`, 0 and nothing are 'none'.
-fn index(parts: &mut Parts, field: &str, names: &[String]) -> Res<Option<usize>> {
-    match parts.text(field)? {
+/// Index of the field's name in a list from the settings; `-`, `0` and an empty field are `None`.
+fn parse_name(message: &mut Message, field: &str, names: &[String]) -> AdapterResult<Option<usize>> {
+    match message.text(field)? {
         "-" | "" | "0" => Ok(None),
-        name => match names.iter().position(|n| n == name) {
-            Some(i) => Ok(Some(i)),
-            None => parts.fault(field, "is not in the settings"),
+        text => match names.iter().position(|name| name == text) {
+            Some(index) => Ok(Some(index)),
+            None => message.error(field, "is not in the settings"),
         },
     }
 }
 
-fn event(parts: &mut Parts, names: &IndexedNames, lists: &BTreeMap<u64, Vec<Row>>) -> Res<Event> {
-    Ok(match parts.name {
+fn parse_event(
+    message: &mut Message, names: &IndexedNames, exchange_lists: &BTreeMap<u64, Vec<ListRow>>,
+) -> AdapterResult<Event> {
+    Ok(match message.name {
         "TOPOLOGY" => {
-            let how = parts.text("how")?;
-            parts.text("serial")?;
+            let how = message.text("how")?;
+            message.text("serial")?;
             if how == "X" {
                 return Ok(Event::List(List::Failed));
             }
-            let number: u64 = parts.parse("ref")?;
-            let Some(rows) = lists.get(&number) else {
-                return parts.fault("ref", "no such LEDGER");
+            let list_ref: u64 = message.parse("ref")?;
+            let Some(rows) = exchange_lists.get(&list_ref) else {
+                return message.error("ref", "no such LEDGER");
             };
             let mut entries = Vec::with_capacity(rows.len());
-            for (listed, zone) in rows {
-                // A zone that the settings do not name is a zone of its own.
-                let zone = names.zones.iter().position(|z| z == zone).unwrap_or(names.zones.len()) as u32;
-                entries.push(Listed { zone, ..listed.clone() });
+            for row in rows {
+                // All zones that the settings do not name share the index after the last named one.
+                let position = names.zones.iter().position(|zone| *zone == row.zone_name);
+                let zone = position.unwrap_or(names.zones.len()) as u32;
+                entries.push(Listed { zone, ..row.listed.clone() });
             }
             match how {
                 "F" | "C" => Event::List(List::Full(entries)),
                 "D" => Event::List(List::Change(entries)),
-                _ => return parts.fault("how", "unknown word"),
+                _ => return message.error("how", "unknown value"),
             }
         }
         "ORDER" => {
-            let id = CallId(parts.parse("rid")?);
-            let Some(class) = index(parts, "tierClass", &names.classes)? else {
-                return parts.fault("tierClass", "missing");
+            let id = CallId(message.parse("rid")?);
+            let Some(class) = parse_name(message, "tierClass", &names.classes)? else {
+                return message.error("tierClass", "missing");
             };
-            let tenant = index(parts, "tenant", &names.tenants)?;
-            let called = parts.text("object")?.to_string();
-            let give_up_at = parts.seconds("giveUpAtS")?;
-            parts.maybe::<f64>("sizeHintS")?;
-            let destination = parts.parse::<f64>("farEnd")? as i64;
-            let width: f64 = parts.parse("units")?;
-            let via = parts.parse::<f64>("tandem")? as i64;
-            let redial = parts.flag("againByClient")?;
-            parts.flag("update")?;
-            let transit = parts.flag("tandemCall")?;
-            parts.flag("cameBack")?;
+            let tenant = parse_name(message, "tenant", &names.tenants)?;
+            let called = message.text("object")?.to_string();
+            let give_up_at = message.seconds("giveUpAtS")?;
+            message.parse_optional::<f64>("sizeHintS")?;
+            let destination = message.parse::<f64>("farEnd")? as i64;
+            let width: f64 = message.parse("units")?;
+            let via = message.parse::<f64>("tandem")? as i64;
+            let redial = message.boolean("againByClient")?;
+            message.boolean("update")?;
+            let transit = message.boolean("tandemCall")?;
+            message.boolean("cameBack")?;
             Event::Call(NewCall {
                 id,
                 class,
@@ -307,52 +319,53 @@
             })
         }
         "FIRST_BYTE" => {
-            let call = CallId(parts.parse("rid")?);
-            let attempt = parts.parse("sendNo")?;
-            parts.parse::<u64>("exchange")?;
-            Event::Standing { call, attempt, took: parts.seconds("waitTimeS")? }
+            let call = CallId(message.parse("rid")?);
+            let attempt = message.parse("sendNo")?;
+            message.parse::<u64>("exchange")?;
+            Event::Standing { call, attempt, took: message.seconds("waitTimeS")? }
         }
         "COMPLETED" => {
-            let call = CallId(parts.parse("rid")?);
-            let attempt = parts.parse("sendNo")?;
-            let exchange = ExchangeId(parts.parse("exchange")?);
-            let outcome = outcome(parts, "outcome")?;
-            parts.seconds("waitTimeS")?;
-            let closed = parts.flag("closed")?;
-            let code = parts.maybe::<f64>("clearCode")?.map_or(0, |c| c as i64);
-            let cause = match code {
+            let call = CallId(message.parse("rid")?);
+            let attempt = message.parse("sendNo")?;
+            let exchange = ExchangeId(message.parse("exchange")?);
+            let outcome = parse_outcome(message, "outcome")?;
+            message.seconds("waitTimeS")?;
+            let closed = message.boolean("closed")?;
+            let clear_code = message.parse_optional::<f64>("clearCode")?.map_or(0, |code| code as i64);
+            let cause = match clear_code {
                 1 => Cause::NoCircuit,
                 2 => Cause::TurnedBack,
                 18 => Cause::FullBeyond,
                 4 => Cause::NumberBusy,
-                c if c > 0 && c & 15 == 3 => Cause::ProcessorFull((c >> 4) * 1000),
+                // 3 plus 16 times the wait in milliseconds.
+                code if code > 0 && code & 15 == 3 => Cause::ProcessorFull((code >> 4) * 1000),
                 _ => Cause::None,
             };
-            let report = parts.report("stats")?;
+            let report = message.load_report("stats")?;
             Event::Ended(End { call, attempt, exchange, outcome, cause, closed, report })
         }
-        "CANCELLED_BY_CLIENT" => Event::CallerGone(CallId(parts.parse("rid")?)),
-        "DEADLINE_HIT" => Event::Timer(parts.parse("ref")?),
+        "CANCELLED_BY_CLIENT" => Event::CallerGone(CallId(message.parse("rid")?)),
+        "DEADLINE_HIT" => Event::Timer(message.parse("ref")?),
         "ECHO" => {
-            let exchange = ExchangeId(parts.parse("exchange")?);
-            let answered = outcome(parts, "outcome")? == Outcome::Ended;
-            let took = parts.seconds("waitTimeS")?;
-            Event::Probed { exchange, answered, took, report: parts.report("stats")? }
+            let exchange = ExchangeId(message.parse("exchange")?);
+            let answered = parse_outcome(message, "outcome")? == Outcome::Ended;
+            let took = message.seconds("waitTimeS")?;
+            Event::Probed { exchange, answered, took, report: message.load_report("stats")? }
         }
         "HEARD" => {
-            let from = parts.parse("from")?;
-            let data = match bytes(parts.text("contents")?) {
+            let from = message.parse("from")?;
+            let data = match decode_hex(message.text("contents")?) {
                 Some(data) => data,
-                None => return parts.fault("contents", "is not hex"),
+                None => return message.error("contents", "must be an even number of hexadecimal digits"),
             };
             Event::Peer { from, data }
         }
-        _ => return parts.fault("name", "unknown message"),
+        _ => return message.error("name", "unknown message"),
     })
 }
 
-fn outcome(parts: &mut Parts, field: &str) -> Res<Outcome> {
-    Ok(match parts.parse::<i64>(field)? {
+fn parse_outcome(message: &mut Message, field: &str) -> AdapterResult<Outcome> {
+    Ok(match message.parse::<i64>(field)? {
         0 => Outcome::Ended,
         5 => Outcome::Error,
         11 => Outcome::Full,
@@ -361,37 +374,42 @@
         104 => Outcome::Reset,
         125 => Outcome::Cancelled,
         114 => Outcome::NotSent,
-        _ => return parts.fault(field, "unknown code"),
+        _ => return message.error(field, "unknown code"),
     })
 }
 
-fn bytes(hex: &str) -> Option<Vec<u8>> {
+/// Bytes of a hexadecimal text; `-` stands for no bytes.
+fn decode_hex(hex: &str) -> Option<Vec<u8>> {
     if hex == "-" {
         return Some(vec![]);
     }
     if !hex.is_ascii() || !hex.len().is_multiple_of(2) {
         return None;
     }
-    (0..hex.len()).step_by(2).map(|i| u8::from_str_radix(&hex[i..i + 2], 16).ok()).collect()
+    (0..hex.len()).step_by(2).map(|start| u8::from_str_radix(&hex[start..start + 2], 16).ok()).collect()
 }
 
-fn write_actions(reply: &mut String, who: u64, actions: &[Action]) {
-    let s = |t: Micros| t.max(0) as f64 / 1e6;
+fn write_actions(reply: &mut String, instance_id: u64, actions: &[Action]) {
+    let seconds = |micros: Micros| micros.max(0) as f64 / 1e6;
     for action in actions {
         // Writing to a String cannot fail.
         let _ = match action {
             Action::Send { call, exchange, timeout } => {
-                writeln!(reply, "HAND_OFF\t{who}\t{}\t{}\t{}", call.0, exchange.0, s(*timeout))
+                writeln!(reply, "HAND_OFF\t{instance_id}\t{}\t{}\t{}", call.0, exchange.0, seconds(*timeout))
             }
             Action::Refuse { call, back_off } => {
-                writeln!(reply, "REJECT\t{who}\t{}\t{}", call.0, s(*back_off))
+                writeln!(reply, "REJECT\t{instance_id}\t{}\t{}", call.0, seconds(*back_off))
+            }
+            Action::Fail(call) => writeln!(reply, "GIVE_UP\t{instance_id}\t{}", call.0),
+            Action::Cancel { call, attempt } => {
+                writeln!(reply, "CALL_OFF\t{instance_id}\t{}\t{attempt}", call.0)
+            }
+            Action::Probe(exchange) => writeln!(reply, "POLL\t{instance_id}\t{}", exchange.0),
+            Action::Subscribe => writeln!(reply, "STREAM_CHANGES\t{instance_id}\t1"),
+            Action::Timer { after, token } => {
+                writeln!(reply, "WAKE_AT\t{instance_id}\t{}\t{token}", seconds(*after))
             }
-            Action::Fail(call) => writeln!(reply, "GIVE_UP\t{who}\t{}", call.0),
-            Action::Cancel { call, attempt } => writeln!(reply, "CALL_OFF\t{who}\t{}\t{attempt}", call.0),
-            Action::Probe(exchange) => writeln!(reply, "POLL\t{who}\t{}", exchange.0),
-            Action::Subscribe => writeln!(reply, "STREAM_CHANGES\t{who}\t1"),
-            Action::Timer { after, token } => writeln!(reply, "WAKE_AT\t{who}\t{}\t{token}", s(*after)),
-            Action::Log(line) => writeln!(reply, "TRACE\t{who}\t{line}"),
+            Action::Log(line) => writeln!(reply, "TRACE\t{instance_id}\t{line}"),
         };
     }
 }
