--- a/src/call.rs
+++ b/src/call.rs
@@ -4,7 +4,8 @@
 
 use crate::control::Controller;
 use crate::interface::{
-    Action, CallId, Cause, End, Event, ExchangeId, List, Micros, NewCall, Number, Outcome, Report, Settings,
+    Action, AttemptEnd, CallId, EndReason, Event, ExchangeNumber, LoadReport, Micros, NewCall, Outcome,
+    Settings, SwitchId, SwitchListUpdate,
 };
 use crate::settings::Names;
 use crate::timers::Timers;
@@ -83,11 +84,11 @@
     /// The caller tries again.
     pub redial: bool,
     /// The exchange it is for.
-    pub destination: Number,
+    pub destination: ExchangeNumber,
     /// Circuits it takes.
     pub width: f64,
     /// The advised tandem or, in transit, where it comes from.
-    pub via: Number,
+    pub via: ExchangeNumber,
     /// Another gatekeeper passes it on.
     pub transit: bool,
     /// The session description, passed on unchanged.
@@ -100,9 +101,9 @@
     /// Its cause (see [`cause`]).
     pub cause: u8,
     /// What the switch noted.
-    pub note: Cause,
+    pub note: EndReason,
     /// What it reports.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 /// What is to be written, in the order given.
@@ -111,7 +112,7 @@
     /// Set a call up.
     SetUp {
         /// At this switch.
-        switch: ExchangeId,
+        switch: SwitchId,
         /// The call.
         tag: Tag,
         /// Its class.
@@ -126,7 +127,7 @@
     /// Give a set-up up, or release a call that stands there.
     GiveUp {
         /// The switch.
-        switch: ExchangeId,
+        switch: SwitchId,
         /// The call.
         tag: Tag,
     },
@@ -135,7 +136,7 @@
     /// Probe a switch.
     Probe {
         /// The switch.
-        switch: ExchangeId,
+        switch: SwitchId,
         /// The probe.
         tag: Tag,
     },
@@ -182,7 +183,7 @@
     /// A probe has.
     Probe(Tag),
     /// The connection to a switch has something due.
-    Link(ExchangeId),
+    Link(SwitchId),
     /// The control feed has.
     Feed,
     /// The callers' connections are to be looked after.
@@ -193,7 +194,7 @@
 
 struct Attempt {
     number: u32,
-    switch: ExchangeId,
+    switch: SwitchId,
     sent: Micros,
 }
 
@@ -201,7 +202,7 @@
     /// The module decides, holds or has an attempt out.
     Open(Option<Attempt>),
     /// It stands at this switch; its set-up was sent then.
-    Standing { switch: ExchangeId, sent: Micros, attempt: u32 },
+    Standing { switch: SwitchId, sent: Micros, attempt: u32 },
 }
 
 struct Call {
@@ -228,7 +229,7 @@
     last_id: u64,
     over: HashMap<Tag, Micros>,
     over_order: VecDeque<(Micros, Tag)>,
-    probes: HashMap<Tag, (ExchangeId, Micros)>,
+    probes: HashMap<Tag, (SwitchId, Micros)>,
     last_probe: Tag,
     /// What came since the last batch, in order of arrival.
     events: Vec<Event>,
@@ -244,7 +245,7 @@
 impl Driver {
     /// A driver with no call.
     pub fn new(settings: Settings, names: Names, limits: Limits, seed: u64, now: Micros) -> Self {
-        let (step, mut actions) = (settings.step, Vec::new());
+        let (step, mut actions) = (settings.min_batch_interval, Vec::new());
         let module = Controller::new(settings, seed, now, &mut actions);
         let mut driver = Driver {
             module,
@@ -280,7 +281,7 @@
     }
 
     /// Whether a call has an attempt out at a switch, or stands there.
-    pub fn uses(&self, switch: ExchangeId) -> bool {
+    pub fn uses(&self, switch: SwitchId) -> bool {
         self.calls.values().any(|c| match &c.stage {
             Stage::Open(attempt) => attempt.as_ref().is_some_and(|a| a.switch == switch),
             Stage::Standing { switch: at, .. } => *at == switch,
@@ -288,7 +289,7 @@
     }
 
     /// When the oldest set-up that is out at a switch was sent.
-    pub fn oldest_out(&self, switch: ExchangeId) -> Option<Micros> {
+    pub fn oldest_out(&self, switch: SwitchId) -> Option<Micros> {
         let out = |c: &Call| match &c.stage {
             Stage::Open(Some(a)) if a.switch == switch => Some(a.sent),
             _ => None,
@@ -330,15 +331,15 @@
         let id = CallId(self.last_id);
         let give_up_at = now.saturating_add(new.left);
         self.tags.insert(new.tag, id);
-        self.events.push(Event::Call(NewCall {
+        self.events.push(Event::NewCall(NewCall {
             id,
             class,
             tenant: None,
-            called: new.called.clone(),
-            give_up_at,
+            called_number: new.called.clone(),
+            deadline: give_up_at,
             destination: new.destination,
-            width: new.width,
-            via: new.via,
+            circuits: new.width,
+            via_exchange: new.via,
             redial: new.redial,
             transit: new.transit,
         }));
@@ -411,7 +412,7 @@
     // What switches send.
 
     /// A call stands.
-    pub fn stands(&mut self, now: Micros, switch: ExchangeId, tag: Tag, description: Option<String>) {
+    pub fn stands(&mut self, now: Micros, switch: SwitchId, tag: Tag, description: Option<String>) {
         let id = self.tags.get(&tag).copied();
         let call = id.and_then(|id| self.calls.get_mut(&id).map(|c| (id, c)));
         if let Some((id, call)) = call {
@@ -422,7 +423,7 @@
                     let took = now - sent;
                     // It is not needed again, and calls stand for long.
                     self.held -= call.description.take().map_or(0, |d| d.len());
-                    self.events.push(Event::Standing { call: id, attempt, took });
+                    self.events.push(Event::Established { call: id, attempt, set_up_time: took });
                     let origin = call.origin;
                     return self.commands.push(Command::Answer { origin, tag, description });
                 }
@@ -438,7 +439,7 @@
     }
 
     /// An attempt has failed, or a call that stood is over.
-    pub fn ended(&mut self, now: Micros, switch: ExchangeId, tag: Tag, release: Release) {
+    pub fn ended(&mut self, now: Micros, switch: SwitchId, tag: Tag, release: Release) {
         let Some(id) = self.tags.get(&tag).copied() else {
             self.state(switch, release.report);
             let was_standing = matches!(release.cause, cause::NORMAL | cause::BROKEN);
@@ -453,27 +454,28 @@
         match &call.stage {
             Stage::Open(Some(a)) if a.switch == switch => {
                 let outcome = match release.cause {
-                    cause::NO_CIRCUIT => Outcome::Full,
+                    cause::NO_CIRCUIT => Outcome::Congested,
                     cause::EXPIRED => Outcome::NotSent,
                     cause::BROKEN => Outcome::Reset,
-                    _ => Outcome::Error,
+                    _ => Outcome::Failed,
                 };
                 let attempt = a.number;
                 call.stage = Stage::Open(None);
-                let (cause, report) = (release.note, release.report);
-                let (call, exchange, closed) = (id, switch, false);
-                self.events.push(Event::Ended(End {
+                let (reason, report) = (release.note, release.report);
+                let (call, call_closed) = (id, false);
+                self.events.push(Event::AttemptEnded(AttemptEnd {
                     call,
                     attempt,
-                    exchange,
+                    switch,
                     outcome,
-                    cause,
-                    closed,
+                    reason,
+                    call_closed,
                     report,
                 }));
             }
             Stage::Standing { switch: at, .. } if *at == switch => {
-                let outcome = if release.cause == cause::NORMAL { Outcome::Ended } else { Outcome::Reset };
+                let outcome =
+                    if release.cause == cause::NORMAL { Outcome::Completed } else { Outcome::Reset };
                 self.over(now, id, release.cause, outcome, release.report);
             }
             // The end of an attempt that was given up before.
@@ -482,41 +484,41 @@
     }
 
     /// A switch has reported without being asked.
-    pub fn state(&mut self, switch: ExchangeId, report: Report) {
-        if report != Report::default() {
-            self.events.push(Event::Probed { exchange: switch, answered: true, took: 0, report });
+    pub fn state(&mut self, switch: SwitchId, report: LoadReport) {
+        if report != LoadReport::default() {
+            self.events.push(Event::SwitchStatus { switch, answered: true, round_trip: 0, report });
         }
     }
 
     /// A switch that seemed silent has spoken on a new connection, so long after that was begun: as good as a
     /// probe that it has answered.
-    pub fn alive(&mut self, switch: ExchangeId, took: Micros) {
-        let (answered, took, report) = (true, took.max(1), Report::default());
-        self.events.push(Event::Probed { exchange: switch, answered, took, report });
+    pub fn alive(&mut self, switch: SwitchId, took: Micros) {
+        let (answered, round_trip, report) = (true, took.max(1), LoadReport::default());
+        self.events.push(Event::SwitchStatus { switch, answered, round_trip, report });
     }
 
     /// A probe has been answered.
-    pub fn probed(&mut self, now: Micros, tag: Tag, passed: bool, report: Report) {
-        if let Some((exchange, sent)) = self.probes.remove(&tag) {
-            let took = (now - sent).max(1);
-            self.events.push(Event::Probed { exchange, answered: passed, took, report });
+    pub fn probed(&mut self, now: Micros, tag: Tag, passed: bool, report: LoadReport) {
+        if let Some((switch, sent)) = self.probes.remove(&tag) {
+            let round_trip = (now - sent).max(1);
+            self.events.push(Event::SwitchStatus { switch, answered: passed, round_trip, report });
         }
     }
 
     /// No connection to a switch came up: these set-ups never left.
-    pub fn unreachable(&mut self, switch: ExchangeId, tags: &[Tag]) {
+    pub fn unreachable(&mut self, switch: SwitchId, tags: &[Tag]) {
         for tag in tags {
             self.end_attempts(switch, Outcome::Unreachable, |c| c.tag == *tag);
         }
     }
 
     /// A connection to a switch is gone, and with it the set-ups that were sent there up to then.
-    pub fn link_lost(&mut self, switch: ExchangeId, up_to: Micros) {
+    pub fn link_lost(&mut self, switch: SwitchId, up_to: Micros) {
         let before = |c: &Call| matches!(&c.stage, Stage::Open(Some(a)) if a.sent <= up_to);
         self.end_attempts(switch, Outcome::Reset, before);
     }
 
-    fn end_attempts(&mut self, switch: ExchangeId, outcome: Outcome, which: impl Fn(&Call) -> bool) {
+    fn end_attempts(&mut self, switch: SwitchId, outcome: Outcome, which: impl Fn(&Call) -> bool) {
         let mut ended = Vec::new();
         for (id, call) in self.calls.iter_mut().filter(|(_, c)| which(c)) {
             if let Stage::Open(Some(a)) = &call.stage
@@ -530,7 +532,7 @@
     }
 
     /// A switch has died or is cut off: the calls that were sent to it before that are cut.
-    pub fn switch_died(&mut self, now: Micros, switch: ExchangeId, before: Micros) {
+    pub fn switch_died(&mut self, now: Micros, switch: SwitchId, before: Micros) {
         let cut = |c: &Call| matches!(c.stage, Stage::Standing { switch: s, sent, .. } if s == switch && sent < before);
         let ids: Vec<CallId> = self.calls.iter().filter(|(_, c)| cut(c)).map(|(id, _)| *id).collect();
         for id in ids {
@@ -538,22 +540,30 @@
             if let Some(tag) = self.calls.get(&id).map(|c| c.tag) {
                 self.give_up(tag, switch);
             }
-            self.over(now, id, cause::BROKEN, Outcome::Reset, Report::default());
+            self.over(now, id, cause::BROKEN, Outcome::Reset, LoadReport::default());
         }
     }
 
     /// News of the list of switches.
-    pub fn list(&mut self, list: List) {
-        self.events.push(Event::List(list));
+    pub fn list(&mut self, list: SwitchListUpdate) {
+        self.events.push(Event::SwitchList(list));
     }
 
     /// A call that stood is over: its caller is told.
-    fn over(&mut self, now: Micros, id: CallId, cause: u8, outcome: Outcome, report: Report) {
+    fn over(&mut self, now: Micros, id: CallId, cause: u8, outcome: Outcome, report: LoadReport) {
         let Some(call) = self.take(now, id) else { return };
         let Stage::Standing { switch, attempt, .. } = call.stage else { return };
         self.commands.push(Command::Release { origin: Some(call.origin), tag: call.tag, cause });
-        let (call, exchange, cause, closed) = (id, switch, Cause::None, true);
-        self.events.push(Event::Ended(End { call, attempt, exchange, outcome, cause, closed, report }));
+        let (call, reason, call_closed) = (id, EndReason::Unknown, true);
+        self.events.push(Event::AttemptEnded(AttemptEnd {
+            call,
+            attempt,
+            switch,
+            outcome,
+            reason,
+            call_closed,
+            report,
+        }));
     }
 
     // Time and the module.
@@ -578,7 +588,7 @@
                     self.end(id, number, switch, Outcome::TimedOut, false);
                 }
             }
-            Due::Probe(tag) => self.probed(now, tag, false, Report::default()),
+            Due::Probe(tag) => self.probed(now, tag, false, LoadReport::default()),
             Due::Link(_) | Due::Feed | Due::Callers | Due::Stop => {}
         }
     }
@@ -608,8 +618,8 @@
     fn act(&mut self, now: Micros) {
         for action in std::mem::take(&mut self.actions) {
             match action {
-                Action::Send { call, exchange, timeout } => self.send(now, call, exchange, timeout),
-                Action::Refuse { call, back_off } => self.reject(now, call, cause::CONGESTION, back_off),
+                Action::SendSetUp { call, switch, timeout } => self.send(now, call, switch, timeout),
+                Action::Reject { call, back_off } => self.reject(now, call, cause::CONGESTION, back_off),
                 Action::Fail(call) => self.reject(now, call, cause::BROKEN, 0),
                 Action::Cancel { call, attempt } => {
                     let Some(c) = self.calls.get_mut(&call) else { continue };
@@ -630,7 +640,7 @@
                 }
                 // Changes to the list come unasked on the control feed.
                 Action::Subscribe => {}
-                Action::Timer { after, token } => {
+                Action::SetTimer { after, token } => {
                     self.timers.push(now.saturating_add(after.max(0)), Due::Module(token));
                 }
                 Action::Log(line) => self.log(line),
@@ -638,7 +648,7 @@
         }
     }
 
-    fn send(&mut self, now: Micros, id: CallId, switch: ExchangeId, timeout: Micros) {
+    fn send(&mut self, now: Micros, id: CallId, switch: SwitchId, timeout: Micros) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let number = call.attempts;
         call.attempts += 1;
@@ -681,13 +691,21 @@
         }
     }
 
-    fn give_up(&mut self, tag: Tag, switch: ExchangeId) {
+    fn give_up(&mut self, tag: Tag, switch: SwitchId) {
         self.commands.push(Command::GiveUp { switch, tag });
     }
 
-    fn end(&mut self, call: CallId, attempt: u32, exchange: ExchangeId, outcome: Outcome, closed: bool) {
-        let (cause, report) = (Cause::None, Report::default());
-        self.events.push(Event::Ended(End { call, attempt, exchange, outcome, cause, closed, report }));
+    fn end(&mut self, call: CallId, attempt: u32, switch: SwitchId, outcome: Outcome, call_closed: bool) {
+        let (reason, report) = (EndReason::Unknown, LoadReport::default());
+        self.events.push(Event::AttemptEnded(AttemptEnd {
+            call,
+            attempt,
+            switch,
+            outcome,
+            reason,
+            call_closed,
+            report,
+        }));
     }
 
     fn log(&mut self, line: String) {
@@ -704,12 +722,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::interface::{Health, Listed};
+    use crate::interface::{Health, SwitchEntry};
     use crate::settings::{build, flatten};
 
     const MS: Micros = 1_000;
     const ORIGIN: Origin = Origin(1);
-    const FAR: ExchangeId = ExchangeId(11);
+    const FAR: SwitchId = SwitchId(11);
 
     /// A driver of exchange 0 that knows exchange 1, with room toward it, at a time of ten seconds.
     struct Rig {
@@ -725,15 +743,18 @@
             let now = 10_000 * MS;
             let limits = Limits { calls: 100, descriptions: 10_000, longest: 9_000 * MS, widths: vec![1.0] };
             let mut driver = Driver::new(settings, names, limits, 7, now);
-            let listed = [(0, 10), (1, 11)].map(|(number, exchange)| Listed {
-                exchange: ExchangeId(exchange),
+            let listed = [(0, 10), (1, 11)].map(|(exchange_number, switch)| SwitchEntry {
+                switch: SwitchId(switch),
                 zone: 0,
-                number,
+                exchange_number,
                 health: Health::InService,
                 up_since: None,
             });
-            driver.list(List::Full(listed.into()));
-            driver.state(FAR, Report { free: Some(9.0), size: Some(9.0), ..Report::default() });
+            driver.list(SwitchListUpdate::Full(listed.into()));
+            driver.state(
+                FAR,
+                LoadReport { free_circuits: Some(9.0), group_size: Some(9.0), ..LoadReport::default() },
+            );
             let mut rig = Rig { driver, now };
             assert_eq!(rig.turn(), []);
             rig
@@ -819,7 +840,7 @@
     #[test]
     fn batches_keep_their_distance_and_hold_what_came_meanwhile() {
         let mut rig = Rig::new();
-        rig.driver.state(FAR, Report { free: Some(8.0), ..Report::default() });
+        rig.driver.state(FAR, LoadReport { free_circuits: Some(8.0), ..LoadReport::default() });
         rig.now += MS;
         rig.turn();
         assert_eq!((rig.driver.events.len(), rig.driver.next_due()), (1, Some(rig.now + 4 * MS)));
@@ -845,7 +866,8 @@
     #[test]
     fn the_end_of_an_unknown_call_is_passed_on_once_and_remembered_for_a_while() {
         let mut rig = Rig::new();
-        let end = || Release { cause: cause::NORMAL, note: Cause::None, report: Report::default() };
+        let end =
+            || Release { cause: cause::NORMAL, note: EndReason::Unknown, report: LoadReport::default() };
         let release = Command::Release { origin: None, tag: 5, cause: cause::NORMAL };
         rig.driver.ended(rig.now, FAR, 5, end());
         rig.driver.ended(rig.now, FAR, 5, end());
@@ -898,7 +920,10 @@
         let [Command::Probe { switch: FAR, tag }] = said[..] else { panic!("{said:?}") };
         rig.now += PROBE_WAIT;
         rig.driver.due(rig.now, Due::Probe(tag));
-        rig.driver.probed(rig.now, tag, true, Report::default());
-        assert!(matches!(rig.driver.events[..], [Event::Probed { answered: false, took: PROBE_WAIT, .. }]));
+        rig.driver.probed(rig.now, tag, true, LoadReport::default());
+        assert!(matches!(
+            rig.driver.events[..],
+            [Event::SwitchStatus { answered: false, round_trip: PROBE_WAIT, .. }]
+        ));
     }
 }
--- a/src/control.rs
+++ b/src/control.rs
@@ -5,8 +5,8 @@
 //! with room beyond a reserve. See docs/design.md for the source and for the exceptions.
 
 use crate::interface::{
-    Action, CallId, Cause, End, Event, ExchangeId, Group, Health, List, Listed, Micros, NewCall, Number,
-    Outcome, Repeat, Report, Settings,
+    Action, AttemptEnd, CallId, DeduplicationScope, EndReason, Event, ExchangeNumber, Health, LoadReport,
+    Micros, NewCall, Outcome, RepeatPolicy, Settings, SwitchEntry, SwitchId, SwitchListUpdate,
 };
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
@@ -88,7 +88,7 @@
 const TIMER_RETRY: u64 = 3;
 
 /// The group between two exchanges, whichever end is named first.
-fn pair(a: Number, b: Number) -> (Number, Number) {
+fn pair(a: ExchangeNumber, b: ExchangeNumber) -> (ExchangeNumber, ExchangeNumber) {
     (a.min(b), a.max(b))
 }
 
@@ -121,7 +121,7 @@
 enum State {
     Idle,
     Held,
-    Out { exchange: ExchangeId, sent: Micros, tandem: bool },
+    Out { exchange: SwitchId, sent: Micros, tandem: bool },
     Releasing,
     Standing,
 }
@@ -132,18 +132,18 @@
     arrived: Micros,
     state: State,
     attempts: u32,
-    tried: Vec<Number>,
+    tried: Vec<ExchangeNumber>,
     /// Not to be sent again before this (release wait).
     not_before: Micros,
     /// First attempt that may have run: when and where.
-    may_have_run: Option<(Micros, ExchangeId)>,
+    may_have_run: Option<(Micros, SwitchId)>,
 }
 
 /// What is known of a number of the plan, whichever processor serves it.
 #[derive(Default)]
 struct Place {
     /// The processor in service there; the newest where there are several.
-    server: Option<ExchangeId>,
+    server: Option<SwitchId>,
     blocked: Rate,
     offered: Rate,
     /// Offered traffic over a longer time, while its processor was warm, and the weight of that time.
@@ -263,7 +263,7 @@
 
 /// What is known of one processor.
 struct Far {
-    listed: Listed,
+    listed: SwitchEntry,
     /// When we were told that it drains or is gone.
     ending: Option<Micros>,
     free: Option<f64>,
@@ -279,7 +279,7 @@
 }
 
 impl Far {
-    fn new(listed: Listed, free: Option<f64>, size: f64) -> Self {
+    fn new(listed: SwitchEntry, free: Option<f64>, size: f64) -> Self {
         let (loops, trial_gap) = (Loops::default(), TRIAL_GAP.0);
         let (ending, out, unanswered, silent_at, doubted, next_trial) = (None, vec![], 0, 0, false, 0);
         Far { listed, ending, free, size, loops, out, unanswered, silent_at, doubted, trial_gap, next_trial }
@@ -290,7 +290,7 @@
     }
 
     fn is_cold(&self, now: Micros, set: &Settings) -> bool {
-        self.listed.up_since.is_some_and(|up| now < up + set.warm_within)
+        self.listed.up_since.is_some_and(|up| now < up + set.warm_up_time)
     }
 }
 
@@ -299,14 +299,14 @@
     set: Settings,
     rng: ChaCha8Rng,
     calls: BTreeMap<CallId, Call>,
-    fars: BTreeMap<ExchangeId, Far>,
+    fars: BTreeMap<SwitchId, Far>,
     /// The own processor, judged by what all set-ups from here have in common.
     home: Loops,
     last_answer: Micros,
     started: Micros,
     /// Groups between others: whether there was room, until when that counts, and for how long it did.
-    beyond: BTreeMap<(Number, Number), (bool, Micros, Micros)>,
-    places: BTreeMap<Number, Place>,
+    beyond: BTreeMap<(ExchangeNumber, ExchangeNumber), (bool, Micros, Micros)>,
+    places: BTreeMap<ExchangeNumber, Place>,
     /// Numbers found busy: until when they are left alone, and for how long the next time.
     busy: BTreeMap<String, (Micros, Micros)>,
     /// Numbers of calls that did not stand: when their callers first tried.
@@ -326,7 +326,7 @@
         if settings.must_subscribe {
             out.push(Action::Subscribe);
         }
-        out.push(Action::Timer { after: PERIOD, token: TIMER_TICK });
+        out.push(Action::SetTimer { after: PERIOD, token: TIMER_TICK });
         let mut home = Loops::default();
         home.fit(1e3);
         let tenants = settings.tenants.iter().map(|_| Rate::default()).collect();
@@ -354,22 +354,24 @@
         // Danger: after a turn missed all that came meanwhile looks late and proves nothing of far ends.
         self.turn = (if now > self.turn.1 + STALL { now } else { self.turn.0 }, now);
         match event {
-            Event::List(list) => self.on_list(now, list, out),
-            Event::Call(new) => self.on_call(now, new, out),
-            Event::Standing { call, attempt, took } => self.on_standing(now, call, attempt, took, out),
-            Event::Ended(end) => self.on_ended(now, end, out),
+            Event::SwitchList(list) => self.on_list(now, list, out),
+            Event::NewCall(new) => self.on_call(now, new, out),
+            Event::Established { call, attempt, set_up_time } => {
+                self.on_standing(now, call, attempt, set_up_time, out)
+            }
+            Event::AttemptEnded(end) => self.on_ended(now, end, out),
             Event::CallerGone(id) => self.forget(id),
             Event::Timer(TIMER_TICK) => self.on_tick(now, out),
             Event::Timer(TIMER_RELIST) => out.push(Action::Subscribe),
             Event::Timer(token) => self.on_timer(now, token & 3, CallId(token >> 2), out),
-            Event::Probed { exchange, answered, took, report } => {
-                self.on_report(now, exchange, &report);
-                if answered && took > 0 {
-                    self.fars.entry(exchange).and_modify(|f| f.loops.renewed = now);
-                    self.answered(exchange, out);
+            Event::SwitchStatus { switch, answered, round_trip, report } => {
+                self.on_report(now, switch, &report);
+                if answered && round_trip > 0 {
+                    self.fars.entry(switch).and_modify(|f| f.loops.renewed = now);
+                    self.answered(switch, out);
                 }
             }
-            Event::Peer { .. } => {}
+            Event::PeerMessage { .. } => {}
         }
     }
 
@@ -380,22 +382,22 @@
 
     /// A share of the shortest aim.
     fn of_aim(&self, share: f64) -> Micros {
-        self.set.classes.iter().map(|c| (c.aim as f64 * share) as Micros).min().unwrap_or(ENDLESS)
+        self.set.classes.iter().map(|c| (c.set_up_target as f64 * share) as Micros).min().unwrap_or(ENDLESS)
     }
 
     fn jitter(&mut self, span: Micros) -> Micros {
         (span as f64 * (0.75 + 0.5 * self.draw())) as Micros
     }
 
-    fn on_list(&mut self, now: Micros, list: List, out: &mut Vec<Action>) {
+    fn on_list(&mut self, now: Micros, list: SwitchListUpdate, out: &mut Vec<Action>) {
         let entries = match list {
-            List::Failed => {
-                return out.push(Action::Timer { after: self.jitter(SECOND), token: TIMER_RELIST });
+            SwitchListUpdate::Failed => {
+                return out.push(Action::SetTimer { after: self.jitter(SECOND), token: TIMER_RELIST });
             }
-            List::Change(entries) => entries,
-            List::Full(entries) => {
+            SwitchListUpdate::Changes(entries) => entries,
+            SwitchListUpdate::Full(entries) => {
                 for far in self.fars.values_mut() {
-                    if !entries.iter().any(|e| e.exchange == far.listed.exchange) {
+                    if !entries.iter().any(|e| e.switch == far.listed.switch) {
                         far.listed.health = Health::Gone;
                         far.ending.get_or_insert(now);
                     }
@@ -404,8 +406,8 @@
             }
         };
         for e in entries {
-            let id = e.exchange;
-            let (lot, place) = (self.draw(), self.places.entry(e.number).or_default());
+            let id = e.switch;
+            let (lot, place) = (self.draw(), self.places.entry(e.exchange_number).or_default());
             let known = self.fars.get(&id);
             let fresh =
                 known.is_none_or(|f| e.up_since != f.listed.up_since && e.health == Health::InService);
@@ -413,7 +415,8 @@
                 // Danger: a first call of each of many agents at once. Each starts with less than one.
                 place.budget = (lot, now);
                 // A machine that replaces another serves the same group of circuits.
-                let twin = known.or_else(|| self.fars.values().find(|f| f.listed.number == e.number));
+                let twin = known
+                    .or_else(|| self.fars.values().find(|f| f.listed.exchange_number == e.exchange_number));
                 let (free, size) = twin.map_or((None, 0.0), |f| (f.free, f.size));
                 self.fars.insert(id, Far::new(e.clone(), free, size));
             }
@@ -425,25 +428,29 @@
         let mut running: Vec<&Far> = self.fars.values().filter(|f| f.in_service()).collect();
         running.sort_by_key(|f| f.listed.up_since.unwrap_or(0));
         for far in running {
-            self.places.entry(far.listed.number).or_default().server = Some(far.listed.exchange);
+            self.places.entry(far.listed.exchange_number).or_default().server = Some(far.listed.switch);
         }
     }
 
-    fn on_report(&mut self, now: Micros, id: ExchangeId, report: &Report) {
+    fn on_report(&mut self, now: Micros, id: SwitchId, report: &LoadReport) {
         let most = self.bearable();
         let Some(far) = self.fars.get_mut(&id) else { return };
         let sound = |v: &f64| v.is_finite() && *v >= 0.0;
-        far.free = report.free.filter(sound).or(far.free);
-        far.size = report.size.filter(sound).unwrap_or(far.size);
+        far.free = report.free_circuits.filter(sound).or(far.free);
+        far.size = report.group_size.filter(sound).unwrap_or(far.size);
         // One pressure scale: a wait w reads as d = d0 + w.
         let quiet = far.loops.quiet().unwrap_or(most).min(most) as f64;
-        let told = report.wait.filter(sound).map(|w| w / (quiet + w)).or(report.hold_back.filter(sound));
+        let told = report
+            .wait_us
+            .filter(sound)
+            .map(|w| w / (quiet + w))
+            .or(report.requested_reduction.filter(sound));
         far.loops.report = told.map_or(far.loops.report, |p| (p, now));
     }
 
     /// Credits a set-up delay, less what the own processor adds to all; and to that what it took beyond the
     /// quiet one. Danger: when traffic turned to farther ends, their longer way counted as pressure at home.
-    fn sample(&mut self, now: Micros, id: ExchangeId, delay: Micros) {
+    fn sample(&mut self, now: Micros, id: SwitchId, delay: Micros) {
         let (excess, most) = (self.home.excess(), self.bearable());
         if let Some(far) = self.fars.get_mut(&id) {
             if delay < ENDLESS {
@@ -456,7 +463,7 @@
         }
     }
 
-    fn answered(&mut self, id: ExchangeId, out: &mut Vec<Action>) {
+    fn answered(&mut self, id: SwitchId, out: &mut Vec<Action>) {
         let Some(far) = self.fars.get_mut(&id) else { return };
         far.unanswered = 0;
         if far.doubted {
@@ -465,7 +472,7 @@
         }
     }
 
-    fn unanswered(&mut self, now: Micros, id: ExchangeId, timed_out: bool, out: &mut Vec<Action>) {
+    fn unanswered(&mut self, now: Micros, id: SwitchId, timed_out: bool, out: &mut Vec<Action>) {
         let gap = self.fars.get(&id).map_or(0, |f| self.of_aim(f.trial_gap));
         let gap = self.jitter(gap);
         // Danger: a broken link ends all that is out on it at once. That is one silence, however many calls.
@@ -480,15 +487,15 @@
     }
 
     /// What a call over a tandem told of the second leg.
-    fn tried(&mut self, now: Micros, tandem: ExchangeId, to: Number, room: bool) {
+    fn tried(&mut self, now: Micros, tandem: SwitchId, to: ExchangeNumber, room: bool) {
         let Some(far) = self.fars.get(&tandem) else { return };
-        self.learn(now, far.listed.number, to, room);
+        self.learn(now, far.listed.exchange_number, to, room);
         self.tries.0.add(now, TAU_TRAFFIC, 1.0);
         self.tries.1.add(now, TAU_TRAFFIC, f64::from(room));
     }
 
     /// What came to be known of a group between two others.
-    fn learn(&mut self, now: Micros, a: Number, b: Number, room: bool) {
+    fn learn(&mut self, now: Micros, a: ExchangeNumber, b: ExchangeNumber, room: bool) {
         let seen = self.beyond.entry(pair(a, b)).or_insert((true, now, 0));
         let span = if room || seen.0 { BEYOND.0 } else { (seen.2 * 2).min(BEYOND.1) };
         *seen = (room, now + span, span);
@@ -497,13 +504,13 @@
     /// Bounds d0 so that CT stands for a delay that calls can bear: below the first resend, which turns
     /// waiting into more work, and a third of the shortest aim. Guards against a d0 learned in overload.
     fn bearable(&self) -> Micros {
-        let aim = self.set.classes.iter().map(|c| c.aim / 3).min().unwrap_or(ENDLESS);
-        let resend = if self.set.resend > 0 { self.set.resend } else { aim };
+        let aim = self.set.classes.iter().map(|c| c.set_up_target / 3).min().unwrap_or(ENDLESS);
+        let resend = if self.set.retransmit_after > 0 { self.set.retransmit_after } else { aim };
         ((1.0 - TARGET) * aim.min(resend) as f64) as Micros
     }
 
     fn on_tick(&mut self, now: Micros, out: &mut Vec<Action>) {
-        out.push(Action::Timer { after: PERIOD, token: TIMER_TICK });
+        out.push(Action::SetTimer { after: PERIOD, token: TIMER_TICK });
         let (mut due, mut overdue) = (Vec::new(), Vec::new());
         let (most, excess, woke) = (self.bearable(), self.home.excess(), self.turn.0);
         for far in self.fars.values_mut() {
@@ -512,7 +519,7 @@
             let beyond = aged.clone().filter(|a| *a > OVERDUE * quiet).map(|a| most + a - quiet);
             overdue.extend(beyond.take(2 * usize::from(!far.doubted)));
             let late: Vec<Micros> = aged.map(|a| a - excess).filter(|a| *a > OVERDUE * quiet).collect();
-            far.loops.fit(self.places[&far.listed.number].offered.read(now, TAU_TRAFFIC));
+            far.loops.fit(self.places[&far.listed.exchange_number].offered.read(now, TAU_TRAFFIC));
             let raw = far.loops.measure(now, &late, 0.5, most);
             far.loops.step(now, raw);
             far.loops.drained(&mut due);
@@ -556,12 +563,12 @@
         if self.calls.contains_key(&id) || new.class >= self.set.classes.len() {
             return;
         }
-        let (to, via, transit) = (new.destination, new.via, new.transit);
-        let after = (new.give_up_at - 2 * self.set.step - now).max(0);
-        out.push(Action::Timer { after, token: timer(TIMER_GIVE_UP, id) });
-        let busy = self.busy.get(&new.called).is_some_and(|b| b.0 > now);
+        let (to, via, transit) = (new.destination, new.via_exchange, new.transit);
+        let after = (new.deadline - 2 * self.set.min_batch_interval - now).max(0);
+        out.push(Action::SetTimer { after, token: timer(TIMER_GIVE_UP, id) });
+        let busy = self.busy.get(&new.called_number).is_some_and(|b| b.0 > now);
         // A number called again soon after it was refused is its caller's redial, marked or not.
-        let seen = self.refused.remove(&new.called).filter(|first| !transit && now < first + REDIAL);
+        let seen = self.refused.remove(&new.called_number).filter(|first| !transit && now < first + REDIAL);
         let arrived = seen.unwrap_or(now);
         let (state, attempts, tried, not_before, may_have_run) = (State::Idle, 0, vec![], 0, None);
         let call = Call { new, arrived, state, attempts, tried, not_before, may_have_run };
@@ -609,16 +616,18 @@
     /// What a call is worth, in thousandths: class, and less for what comes late or over its tenant's share.
     fn worth(&self, now: Micros, call: &Call) -> i64 {
         let class = &self.set.classes[call.new.class];
-        let mut worth = class.worth;
-        if now >= call.arrived + class.aim || (call.new.redial && call.attempts == 0 && call.arrived == now) {
-            worth *= class.late_worth;
+        let mut worth = class.value;
+        if now >= call.arrived + class.set_up_target
+            || (call.new.redial && call.attempts == 0 && call.arrived == now)
+        {
+            worth *= class.late_value_factor;
         }
         if let Some(t) = call.new.tenant.filter(|t| *t < self.tenants.len()) {
             let all: f64 = self.tenants.iter().map(|r| r.read(now, TAU_TRAFFIC)).sum();
             let quotas: f64 = self.set.tenants.iter().map(|t| t.quota_per_s).sum();
             let quota = all * self.set.tenants[t].quota_per_s / quotas;
             let within = (quota / self.tenants[t].read(now, TAU_TRAFFIC)).min(1.0);
-            worth *= within + (1.0 - within) * self.set.over_share_worth;
+            worth *= within + (1.0 - within) * self.set.over_quota_value_factor;
         }
         (worth * 20.0).round() as i64 * 50
     }
@@ -636,7 +645,7 @@
     }
 
     /// The processor in service at a number; the newest where there are several.
-    fn serving(&self, number: Number) -> Option<ExchangeId> {
+    fn serving(&self, number: ExchangeNumber) -> Option<SwitchId> {
         self.places.get(&number)?.server
     }
 
@@ -651,15 +660,16 @@
 
     /// Direct first, else one random tandem with room beyond the reserve: to where, whether as a tandem, and
     /// for how long to wait.
-    fn pick(&mut self, now: Micros, id: CallId) -> Option<(ExchangeId, bool, Micros)> {
+    fn pick(&mut self, now: Micros, id: CallId) -> Option<(SwitchId, bool, Micros)> {
         let lot = self.draw();
         let call = self.calls.get(&id)?;
-        let (to, width, transit) = (call.new.destination, call.new.width, call.new.transit);
+        let (to, width, transit) = (call.new.destination, call.new.circuits, call.new.transit);
         let class = &self.set.classes[call.new.class];
-        let left = Some(call.arrived + class.aim - now).filter(|l| *l > 0).unwrap_or(class.aim);
+        let left =
+            Some(call.arrived + class.set_up_target - now).filter(|l| *l > 0).unwrap_or(class.set_up_target);
         let dest = self.serving(to)?;
         let keep = if transit { self.reserve(now, dest) } else { 0.0 };
-        let half = left.min((class.aim as f64 * HALF) as Micros);
+        let half = left.min((class.set_up_target as f64 * HALF) as Micros);
         if transit || self.room(dest) >= width {
             let wait = if !transit && self.quick(dest, half) { half } else { left };
             return (self.room(dest) >= width + keep).then_some((dest, false, wait));
@@ -668,9 +678,11 @@
         if self.fars[&dest].doubted {
             return None;
         }
-        let mut open: Vec<(bool, ExchangeId)> = Vec::new();
+        let mut open: Vec<(bool, SwitchId)> = Vec::new();
         for (n, place) in self.places.iter().filter(|(n, _)| **n != to && !call.tried.contains(n)) {
-            let skilled = !self.set.pools || class.skilled.is_empty() || class.skilled.contains(n);
+            let skilled = !self.set.pool_topology
+                || class.eligible_pools.is_empty()
+                || class.eligible_pools.contains(n);
             let Some(x) = place.server.filter(|_| skilled) else { continue };
             // Full beyond, when last seen: another agent's group, of which nothing else is known.
             let seen = self.beyond.get(&pair(*n, to)).filter(|b| b.1 > now).map(|b| b.0);
@@ -693,44 +705,45 @@
 
     /// Danger: lost answers. Whether set-ups take well below this span, as far as is known, so that one more
     /// can follow one unanswered without feeding an overload.
-    fn quick(&self, id: ExchangeId, span: Micros) -> bool {
+    fn quick(&self, id: SwitchId, span: Micros) -> bool {
         let eased = self.fars.get(&id).filter(|f| !f.doubted && f.loops.ratio.max(self.home.ratio) <= 0.0);
         eased.and_then(|f| f.loops.delay.or(self.home.delay)).is_some_and(|d| 4 * d < span)
     }
 
     /// Free circuits toward a processor, as far as is known.
-    fn room(&self, id: ExchangeId) -> f64 {
+    fn room(&self, id: SwitchId) -> f64 {
         self.fars.get(&id).map_or(0.0, |f| f.free.unwrap_or(f64::INFINITY))
     }
 
     /// Circuits kept free for direct traffic: more as more of it was blocked of late.
-    fn reserve(&self, now: Micros, id: ExchangeId) -> f64 {
+    fn reserve(&self, now: Micros, id: SwitchId) -> f64 {
         let Some(far) = self.fars.get(&id) else { return 0.0 };
-        let Some(place) = self.places.get(&far.listed.number) else { return 0.0 };
+        let Some(place) = self.places.get(&far.listed.exchange_number) else { return 0.0 };
         let offered = place.offered.read(now, TAU_TRAFFIC);
         let blocked = if offered > 0.0 { place.blocked.read(now, TAU_TRAFFIC) / offered } else { 0.0 };
         RESERVE.0 + (RESERVE.1 * blocked.min(1.0) * far.size).round()
     }
 
     /// Whether the rules allow a send of this call to this processor now.
-    fn gate(&self, now: Micros, id: CallId, to: ExchangeId, tandem: bool) -> bool {
+    fn gate(&self, now: Micros, id: CallId, to: SwitchId, tandem: bool) -> bool {
         let (Some(call), Some(far)) = (self.calls.get(&id), self.fars.get(&to)) else { return false };
-        let number = far.listed.number;
+        let number = far.listed.exchange_number;
         let direct = number == call.new.destination;
         let class = &self.set.classes[call.new.class];
-        let in_time = now + 2 * self.set.step < call.new.give_up_at && now >= call.not_before;
-        let single = call.state == State::Idle && call.attempts < self.set.most_attempts;
+        let in_time = now + 2 * self.set.min_batch_interval < call.new.deadline && now >= call.not_before;
+        let single = call.state == State::Idle && call.attempts < self.set.max_attempts;
         let transit = direct || (!call.new.transit && tandem);
-        let own = number == self.set.here && !self.set.pools;
-        let repeatable = match (class.repeat, call.may_have_run) {
-            (Repeat::Pure, _) | (_, None) => true,
-            (Repeat::SideEffect, Some(_)) => false,
-            (Repeat::Token, Some((at, first))) => {
-                let same = self.fars.get(&first).is_some_and(|f| match class.group {
-                    Group::Zone => f.listed.zone == far.listed.zone,
-                    _ => f.listed.number == number,
+        let own = number == self.set.own_exchange && !self.set.pool_topology;
+        let repeatable = match (class.repeat_policy, call.may_have_run) {
+            (RepeatPolicy::Idempotent, _) | (_, None) => true,
+            (RepeatPolicy::AtMostOnce, Some(_)) => false,
+            (RepeatPolicy::Deduplicated, Some((at, first))) => {
+                let same = self.fars.get(&first).is_some_and(|f| match class.deduplication_scope {
+                    DeduplicationScope::Zone => f.listed.zone == far.listed.zone,
+                    _ => f.listed.exchange_number == number,
                 });
-                (same || class.group == Group::All) && now < at + class.repeat_window
+                (same || class.deduplication_scope == DeduplicationScope::AllExchanges)
+                    && now < at + class.deduplication_window
             }
         };
         let cold = !far.is_cold(now, &self.set) || (direct && self.cold_budget(now, far) >= 1.0);
@@ -741,23 +754,23 @@
 
     /// Rule 4, by each agent alone: its part of what a cold processor can bear, from its warm traffic.
     fn cold_budget(&self, now: Micros, far: &Far) -> f64 {
-        let place = &self.places[&far.listed.number];
+        let place = &self.places[&far.listed.exchange_number];
         let age = (now - far.listed.up_since.unwrap_or(now)).max(0) as f64;
-        let warmth = (age / self.set.warm_within.max(1) as f64).min(1.0);
-        let share = self.set.cold_from + (1.0 - self.set.cold_from) * warmth * warmth;
+        let warmth = (age / self.set.warm_up_time.max(1) as f64).min(1.0);
+        let share = self.set.cold_capacity_share + (1.0 - self.set.cold_capacity_share) * warmth * warmth;
         let offered = place.offered.read(now, TAU_TRAFFIC);
         // Danger: processors that are replaced time and again are hardly ever warm.
         let usual = place.usual.0.value / place.usual.1.value.max(1.0 / TAU_TRAFFIC);
         // Danger: a surge with the news of a start raises the part of every agent.
         let known = if usual > 0.0 { offered.max(usual).min(COLD_SURGE * usual) } else { offered };
-        let rate = self.set.tip_multiple * share * known;
+        let rate = self.set.cold_overload_factor * share * known;
         let dt = (now - place.budget.1).max(0) as f64 / 1e6;
-        let most = (rate * self.set.fall as f64 / 1e6 / 3.0).max(1.0);
+        let most = (rate * self.set.cold_overload_duration as f64 / 1e6 / 3.0).max(1.0);
         (place.budget.0 + rate * dt).min(most)
     }
 
     fn send(
-        &mut self, now: Micros, id: CallId, to: ExchangeId, tandem: bool, timeout: Micros,
+        &mut self, now: Micros, id: CallId, to: SwitchId, tandem: bool, timeout: Micros,
         out: &mut Vec<Action>,
     ) -> bool {
         if !self.gate(now, id, to, tandem) {
@@ -765,7 +778,7 @@
         }
         let far = &self.fars[&to];
         let (number, cold, budget) =
-            (far.listed.number, far.is_cold(now, &self.set), self.cold_budget(now, far));
+            (far.listed.exchange_number, far.is_cold(now, &self.set), self.cold_budget(now, far));
         let gap = self.of_aim(far.trial_gap);
         let gap = self.jitter(gap);
         let place = self.places.entry(number).or_default();
@@ -777,12 +790,16 @@
         if far.doubted {
             far.next_trial = now + gap;
         }
-        far.free = far.free.map(|f| f - call.new.width);
+        far.free = far.free.map(|f| f - call.new.circuits);
         far.out.push((now, id));
         call.state = State::Out { exchange: to, sent: now, tandem };
         call.attempts += 1;
         call.tried.push(number);
-        out.push(Action::Send { call: id, exchange: to, timeout: timeout.max(self.set.step) });
+        out.push(Action::SendSetUp {
+            call: id,
+            switch: to,
+            timeout: timeout.max(self.set.min_batch_interval),
+        });
         true
     }
 
@@ -803,13 +820,13 @@
         }
     }
 
-    fn no_longer_out(&mut self, id: CallId, exchange: ExchangeId) {
+    fn no_longer_out(&mut self, id: CallId, exchange: SwitchId) {
         self.fars.entry(exchange).and_modify(|far| far.out.retain(|o| o.1 != id));
     }
 
-    fn on_ended(&mut self, now: Micros, end: End, out: &mut Vec<Action>) {
-        self.on_report(now, end.exchange, &end.report);
-        let (id, outcome, closed) = (end.call, end.outcome, end.closed);
+    fn on_ended(&mut self, now: Micros, end: AttemptEnd, out: &mut Vec<Action>) {
+        self.on_report(now, end.switch, &end.report);
+        let (id, outcome, closed) = (end.call, end.outcome, end.call_closed);
         let Some(call) = self.calls.get_mut(&id) else { return };
         let State::Out { exchange, sent, tandem } = call.state else {
             if closed {
@@ -821,21 +838,21 @@
             return;
         }
         call.state = State::Idle;
-        if !matches!(outcome, Outcome::Full | Outcome::Unreachable | Outcome::NotSent) {
+        if !matches!(outcome, Outcome::Congested | Outcome::Unreachable | Outcome::NotSent) {
             call.may_have_run.get_or_insert((sent, exchange));
         }
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            call.not_before = now + self.set.release + self.set.step;
+            call.not_before = now + self.set.release_wait + self.set.min_batch_interval;
         }
-        let left = call.arrived + self.set.classes[call.new.class].aim - now;
-        let (called, to, transit) = (call.new.called.clone(), call.new.destination, call.new.transit);
+        let left = call.arrived + self.set.classes[call.new.class].set_up_target - now;
+        let (called, to, transit) = (call.new.called_number.clone(), call.new.destination, call.new.transit);
         self.no_longer_out(id, exchange);
         let woke = self.fars.get(&exchange).map_or(0, |f| f.loops.renewed).max(self.turn.0);
         let (mut away, mut again) = (false, false);
-        if matches!(outcome, Outcome::Ended | Outcome::Error | Outcome::Full | Outcome::Cancelled) {
+        if matches!(outcome, Outcome::Completed | Outcome::Failed | Outcome::Congested | Outcome::Cancelled) {
             self.answered(exchange, out);
         }
-        match (outcome, end.cause) {
+        match (outcome, end.reason) {
             (Outcome::TimedOut, _) if sent < woke => again = tandem || sent >= self.turn.0,
             // Nothing came back from anywhere since: it is the own processor that is silent.
             (Outcome::TimedOut, _) if self.last_answer < sent => {
@@ -850,27 +867,31 @@
                 self.unanswered(now, exchange, outcome == Outcome::TimedOut, out);
                 again = tandem || outcome == Outcome::Reset || self.quick(exchange, left);
             }
-            (Outcome::NotSent, cause) if !matches!(cause, Cause::ProcessorFull(_)) => {
+            (Outcome::NotSent, cause) if !matches!(cause, EndReason::ProcessorCongested(_)) => {
                 self.fars.entry(exchange).and_modify(|far| far.free = Some(0.0));
                 again = true;
             }
-            (Outcome::Full, Cause::ProcessorFull(_) | Cause::FullBeyond) => {
-                let full = if end.cause == Cause::FullBeyond { self.serving(to) } else { Some(exchange) };
+            (Outcome::Congested, EndReason::ProcessorCongested(_) | EndReason::CongestedBeyondTandem) => {
+                let full = if end.reason == EndReason::CongestedBeyondTandem {
+                    self.serving(to)
+                } else {
+                    Some(exchange)
+                };
                 full.into_iter().for_each(|x| self.sample(now, x, ENDLESS));
             }
-            (Outcome::Full, _) => {
+            (Outcome::Congested, _) => {
                 if tandem {
                     self.tried(now, exchange, to, false);
                 }
                 again = self.calls[&id].attempts < 2;
             }
-            (Outcome::Error, Cause::NumberBusy) => {
+            (Outcome::Failed, EndReason::SubscriberBusy) => {
                 let last = self.busy.get(&called).map_or(BUSY_NUMBER.0, |b| (b.1 * 2).min(BUSY_NUMBER.1));
                 self.busy.insert(called, (now + last, last));
                 away = true;
             }
             // Danger: a processor that fails most set-ups. While answers are quick, one more try is cheap.
-            (Outcome::Error, _) => {
+            (Outcome::Failed, _) => {
                 again = self.quick(exchange, left) && self.fars[&exchange].loops.failed;
                 self.fars.entry(exchange).and_modify(|f| f.loops.failed = true);
             }
@@ -886,7 +907,7 @@
         if call.not_before > now {
             call.state = State::Releasing;
             let after = call.not_before - now;
-            out.push(Action::Timer { after, token: timer(TIMER_RETRY, id) });
+            out.push(Action::SetTimer { after, token: timer(TIMER_RETRY, id) });
         } else {
             self.route(now, id, out);
         }
@@ -896,13 +917,16 @@
     fn finish(&mut self, id: CallId, away: bool, out: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else { return };
         let class = &self.set.classes[call.new.class];
-        let anywhere = class.repeat == Repeat::Token && class.group == Group::All;
-        let may_refuse = class.repeat == Repeat::Pure || call.may_have_run.is_none() || anywhere;
+        let anywhere = class.repeat_policy == RepeatPolicy::Deduplicated
+            && class.deduplication_scope == DeduplicationScope::AllExchanges;
+        let may_refuse =
+            class.repeat_policy == RepeatPolicy::Idempotent || call.may_have_run.is_none() || anywhere;
         // An attempt that is still out may yet run.
         if may_refuse && !matches!(call.state, State::Out { .. }) {
-            let most = if self.set.may_back_off { self.set.longest_back_off } else { 0 };
-            let back_off = if away { most } else { most.min((class.aim as f64 * BACK_OFF) as Micros) };
-            out.push(Action::Refuse { call: id, back_off });
+            let most = if self.set.may_send_back_off { self.set.max_back_off } else { 0 };
+            let back_off =
+                if away { most } else { most.min((class.set_up_target as f64 * BACK_OFF) as Micros) };
+            out.push(Action::Reject { call: id, back_off });
         } else {
             out.push(Action::Fail(id));
         }
@@ -912,7 +936,7 @@
     fn forget(&mut self, id: CallId) {
         let Some(call) = self.calls.remove(&id) else { return };
         if call.state != State::Standing && !call.new.transit {
-            self.refused.insert(call.new.called, call.arrived);
+            self.refused.insert(call.new.called_number, call.arrived);
         }
         match call.state {
             State::Out { exchange, .. } => self.no_longer_out(id, exchange),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,339 +1,344 @@
-//! What goes into the module and what comes out of it: settings, events and actions. Nothing here decides.
+//! Interface of the decision module: its settings, the events it takes and the actions it returns. Data only;
+//! all decisions are made in [`crate::control`].
 
-/// Time or a span of time, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
-/// A call, as its call agent numbers it.
+/// A call, numbered by the gatekeeper that runs the module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// An exchange's processor. A machine that replaces another has a new id at the same [`Number`].
+/// A carrier switch: one processor that serves an exchange. A machine that replaces another has a new id and
+/// the same [`ExchangeNumber`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ExchangeId(pub u64);
+pub struct SwitchId(pub u64);
 
-/// Number of an exchange or pool in the numbering plan; -1 is 'none'.
-pub type Number = i64;
+/// Number of an exchange or pool in the numbering plan; -1 means none.
+pub type ExchangeNumber = i64;
 
-/// How far apart repeats of a call of this class must be kept.
+/// Whether calls of a class may be attempted more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
-    /// May be repeated and refused freely.
-    Pure,
-    /// Repeats are thrown away within a group of exchanges.
-    Token,
-    /// May be repeated only when every earlier attempt is known not to have run.
-    SideEffect,
+pub enum RepeatPolicy {
+    /// Attempts may be repeated, and the call rejected, at any time.
+    Idempotent,
+    /// Exchanges discard repeated attempts within a [`DeduplicationScope`] and a time window.
+    Deduplicated,
+    /// May be repeated only when every earlier attempt is known not to have been executed.
+    AtMostOnce,
 }
 
-/// Which exchanges throw away repeats of a [`Repeat::Token`] call.
+/// Which exchanges recognise and discard repeats of a [`RepeatPolicy::Deduplicated`] call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
-    /// All of them.
-    All,
-    /// Those in one zone.
+pub enum DeduplicationScope {
+    /// All exchanges.
+    AllExchanges,
+    /// The exchanges in the zone of the first attempt.
     Zone,
-    /// Those with one number.
-    Cell,
+    /// The exchange of the first attempt, whichever of its processors is asked.
+    Exchange,
 }
 
 /// A class of call.
 #[derive(Clone, Debug)]
-pub struct Class {
-    /// Set up within this time it earns its full worth.
-    pub aim: Micros,
-    /// Worth of a call that stands to its end.
-    pub worth: f64,
-    /// Share of the worth when it is set up later than the aim.
-    pub late_worth: f64,
-    /// How it may be repeated.
-    pub repeat: Repeat,
-    /// For `Token`: who throws repeats away.
-    pub group: Group,
-    /// For `Token`: for how long.
-    pub repeat_window: Micros,
-    /// For pools: the pools it may go to; empty means any.
-    pub skilled: Vec<Number>,
+pub struct CallClass {
+    /// Calls set up within this time earn their full value.
+    pub set_up_target: Micros,
+    /// Value of a call that is set up and lasts to its end.
+    pub value: f64,
+    /// Factor on the value of a call that is set up later than the target.
+    pub late_value_factor: f64,
+    /// Whether attempts may be repeated.
+    pub repeat_policy: RepeatPolicy,
+    /// For [`RepeatPolicy::Deduplicated`]: which exchanges discard repeats.
+    pub deduplication_scope: DeduplicationScope,
+    /// For [`RepeatPolicy::Deduplicated`]: for how long after the first attempt they do.
+    pub deduplication_window: Micros,
+    /// In a pool topology: the pools that can take the call; empty means any.
+    pub eligible_pools: Vec<ExchangeNumber>,
 }
 
 /// A tenant and its agreed traffic.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Calls a second within its share, over all call agents.
+    /// Agreed rate in calls per second, over all gatekeepers.
     pub quota_per_s: f64,
 }
 
-/// What the deployment tells the module at its start.
+/// Settings of the deployment, passed to the module at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Number of the own exchange; -1 where there is none (pools).
-    pub here: Number,
-    /// How many call agents there are.
-    pub agents: u32,
-    /// Exchanges are pools of agents shared by all; no call is in transit.
-    pub pools: bool,
-    /// Changes to the list must be asked for.
+    /// The gatekeeper's own exchange; -1 where there is none (pool topology).
+    pub own_exchange: ExchangeNumber,
+    /// Number of gatekeepers in the deployment.
+    pub gatekeeper_count: u32,
+    /// The exchanges are pools of operators shared by all gatekeepers; there are no transit calls.
+    pub pool_topology: bool,
+    /// Updates of the switch list come only after [`Action::Subscribe`].
     pub must_subscribe: bool,
-    /// With `must_subscribe`: a list older than this counts as known.
-    pub ask_within: Micros,
-    /// Classes of call, in the order that events name them.
-    pub classes: Vec<Class>,
-    /// Tenants, in the order that events name them.
+    /// With `must_subscribe`: the age at which a switch list counts as known.
+    pub list_known_after: Micros,
+    /// Classes of call; events refer to them by index.
+    pub classes: Vec<CallClass>,
+    /// Tenants; events refer to them by index.
     pub tenants: Vec<Tenant>,
-    /// Worth of a call beyond its tenant's share, as a share of the class's.
-    pub over_share_worth: f64,
-    /// A doubtful attempt must have been over for this long before the next.
-    pub release: Micros,
-    /// A waiting set-up is repeated after this; 0 is never.
-    pub resend: Micros,
-    /// Shortest gap between two batches of events.
-    pub step: Micros,
-    /// Most attempts for a call.
-    pub most_attempts: u32,
+    /// Factor on the value of a call beyond its tenant's quota.
+    pub over_quota_value_factor: f64,
+    /// Shortest time between the end of an attempt that may still be in progress at its switch and the next
+    /// attempt.
+    pub release_wait: Micros,
+    /// A set-up that is still waiting is sent again after this time; 0 means never.
+    pub retransmit_after: Micros,
+    /// Shortest time between two batches of events.
+    pub min_batch_interval: Micros,
+    /// Most attempts per call.
+    pub max_attempts: u32,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
-    /// Exchanges may be probed.
+    /// Switches may be probed.
     pub may_probe: bool,
-    /// Price of a probe for each first try.
-    pub probe_price: f64,
-    /// Callers are told how long to stay away.
-    pub may_back_off: bool,
-    /// Longest back-off that callers follow.
-    pub longest_back_off: Micros,
-    /// Nothing new to a draining exchange after this.
+    /// Cost of a probe, charged per first attempt.
+    pub probe_cost: f64,
+    /// Rejections may tell callers how long to back off.
+    pub may_send_back_off: bool,
+    /// Longest back-off that callers comply with.
+    pub max_back_off: Micros,
+    /// How long after it starts to drain an exchange may still be sent new calls.
     pub drain_grace: Micros,
-    /// A cold exchange starts at this share of its capacity.
-    pub cold_from: f64,
-    /// And is warm after this long.
-    pub warm_within: Micros,
-    /// Work beyond this multiple of its present capacity ...
-    pub tip_multiple: f64,
-    /// ... for this long pushes a cold exchange over.
-    pub fall: Micros,
+    /// Share of its capacity that a cold processor starts with.
+    pub cold_capacity_share: f64,
+    /// Time after its start within which a processor is cold.
+    pub warm_up_time: Micros,
+    /// A cold processor fails when it is offered more than this multiple of its present capacity ...
+    pub cold_overload_factor: f64,
+    /// ... for this long.
+    pub cold_overload_duration: Micros,
     /// Far processors report their load.
-    pub far_reports: bool,
+    pub load_reports_enabled: bool,
 }
 
-/// State of an exchange in the list.
+/// State of a switch in the switch list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
     /// Runs and takes calls.
     InService,
-    /// Finishes its work and takes nothing new.
+    /// Finishes its calls and takes no new ones.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// One line of a list of exchanges.
+/// An entry of the switch list.
 #[derive(Clone, Debug)]
-pub struct Listed {
-    /// Which processor.
-    pub exchange: ExchangeId,
-    /// Its zone, as an index.
+pub struct SwitchEntry {
+    /// The switch.
+    pub switch: SwitchId,
+    /// Index of its zone.
     pub zone: u32,
-    /// Its number.
-    pub number: Number,
+    /// Number of the exchange that it serves.
+    pub exchange_number: ExchangeNumber,
     /// Its state.
     pub health: Health,
-    /// When it last started, if that is known.
+    /// When it last started, if known.
     pub up_since: Option<Micros>,
 }
 
-/// What a list event holds.
+/// An update of the switch list.
 #[derive(Clone, Debug)]
-pub enum List {
-    /// The whole list; it replaces what was known.
-    Full(Vec<Listed>),
-    /// Changed lines only.
-    Change(Vec<Listed>),
-    /// A question to discovery failed or the subscription broke.
+pub enum SwitchListUpdate {
+    /// The whole list, which replaces the one before.
+    Full(Vec<SwitchEntry>),
+    /// The changed entries only.
+    Changes(Vec<SwitchEntry>),
+    /// A query to discovery failed or the subscription broke.
     Failed,
 }
 
-/// A report on the group toward an exchange and on its processor; values that did not come are `None`.
+/// Load of a processor and of the group of circuits towards it; values that were not reported are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
-    /// Free circuits of the own group (or free agents of the pool).
-    pub free: Option<f64>,
-    /// Size of that group.
-    pub size: Option<f64>,
-    /// Messages in work at the processor.
-    pub active: Option<f64>,
-    /// Messages waiting there.
-    pub waiting: Option<f64>,
-    /// Share of it that is busy.
-    pub busy: Option<f64>,
-    /// The wait at it, in microseconds.
-    pub wait: Option<f64>,
-    /// Set-ups a second it can take from all senders together.
-    pub can_take: Option<f64>,
-    /// Share of set-ups that it asks each sender to hold back.
-    pub hold_back: Option<f64>,
+pub struct LoadReport {
+    /// Free circuits of the own group, or free operators of the pool.
+    pub free_circuits: Option<f64>,
+    /// Size of that group or pool.
+    pub group_size: Option<f64>,
+    /// Messages that the processor is working on.
+    pub active_messages: Option<f64>,
+    /// Messages queued at the processor.
+    pub waiting_messages: Option<f64>,
+    /// Utilization of the processor, as a share.
+    pub utilization: Option<f64>,
+    /// Waiting time at the processor, in microseconds.
+    pub wait_us: Option<f64>,
+    /// Set-ups per second that it can take from all senders together.
+    pub max_set_ups_per_s: Option<f64>,
+    /// Share of its set-ups by which each sender is asked to reduce its traffic.
+    pub requested_reduction: Option<f64>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The call stood and has ended.
-    Ended,
-    /// All lines of the number are busy, or a fault in signalling.
-    Error,
-    /// Turned back, or a processor or pool was full.
-    Full,
+    /// The call was established and has ended.
+    Completed,
+    /// All lines of the called number are busy, or there was a signalling fault.
+    Failed,
+    /// A tandem, a processor or a pool had no capacity for the call.
+    Congested,
     /// No answer in time.
     TimedOut,
-    /// Could not be reached.
+    /// The switch could not be reached.
     Unreachable,
-    /// The set-up or the standing call was cut.
+    /// The set-up or the established call was cut off.
     Reset,
-    /// Cancelled or released by the caller.
+    /// Cancelled, or released by the caller.
     Cancelled,
-    /// Never left.
+    /// The set-up was never sent.
     NotSent,
 }
 
-/// Why it ended so.
+/// Why an attempt ended, beyond its [`Outcome`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
-    /// Nothing is known.
-    None,
-    /// No circuit or agent was free.
+pub enum EndReason {
+    /// Nothing further is known.
+    Unknown,
+    /// No circuit or operator was free.
     NoCircuit,
-    /// The tandem turned it back.
-    TurnedBack,
-    /// The processor beyond the tandem was full.
-    FullBeyond,
-    /// The far processor was full (with `NotSent`: the own one is down); the wait it names, or 0.
-    ProcessorFull(Micros),
-    /// No line of the number is free.
-    NumberBusy,
+    /// The tandem rejected the call.
+    RejectedByTandem,
+    /// The destination's processor, beyond the tandem, was congested.
+    CongestedBeyondTandem,
+    /// The far processor was congested; carries the waiting time that it reported, or 0. With
+    /// [`Outcome::NotSent`]: the own processor is down.
+    ProcessorCongested(Micros),
+    /// No line of the called number is free.
+    SubscriberBusy,
 }
 
-/// A call handed to the module.
+/// A call handed to the module for a decision.
 #[derive(Clone, Debug)]
 pub struct NewCall {
     /// Its id.
     pub id: CallId,
-    /// Its class, as an index.
+    /// Index of its class.
     pub class: usize,
-    /// Its tenant, as an index.
+    /// Index of its tenant.
     pub tenant: Option<usize>,
     /// The subscriber's number that was called.
-    pub called: String,
+    pub called_number: String,
     /// When the caller gives up.
-    pub give_up_at: Micros,
-    /// The exchange it is for.
-    pub destination: Number,
-    /// Its width in circuits.
-    pub width: f64,
-    /// The tandem that the centre advises; in transit, where it came from; -1 if none.
-    pub via: Number,
-    /// The caller is known to be trying again.
+    pub deadline: Micros,
+    /// The exchange that it is for.
+    pub destination: ExchangeNumber,
+    /// Number of circuits that it takes.
+    pub circuits: f64,
+    /// The tandem that the routing centre advises; for a transit call the exchange that it came from; -1 if
+    /// there is none.
+    pub via_exchange: ExchangeNumber,
+    /// The caller is known to be redialling.
     pub redial: bool,
-    /// Another call agent passes it on.
+    /// The call is passed on by another gatekeeper, for which this exchange is the tandem.
     pub transit: bool,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug)]
-pub struct End {
+pub struct AttemptEnd {
     /// The call.
     pub call: CallId,
-    /// The attempt, counted from 0.
+    /// Index of the attempt, from 0.
     pub attempt: u32,
-    /// Where it went.
-    pub exchange: ExchangeId,
+    /// The switch that the set-up was sent to.
+    pub switch: SwitchId,
     /// How it ended.
     pub outcome: Outcome,
-    /// Why.
-    pub cause: Cause,
-    /// Nothing more is owed for the call.
-    pub closed: bool,
-    /// What the exchange reports.
-    pub report: Report,
+    /// Why it ended.
+    pub reason: EndReason,
+    /// The call is over: the module owes it no further action.
+    pub call_closed: bool,
+    /// The load that the switch reports.
+    pub report: LoadReport,
 }
 
-/// What has happened.
+/// An event that the module takes.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the list.
-    List(List),
+    /// An update of the switch list.
+    SwitchList(SwitchListUpdate),
     /// A call to decide on.
-    Call(NewCall),
-    /// A call stands.
-    Standing {
+    NewCall(NewCall),
+    /// A call was established.
+    Established {
         /// The call.
         call: CallId,
-        /// The attempt, counted from 0.
+        /// Index of the attempt, from 0.
         attempt: u32,
         /// How long the set-up took.
-        took: Micros,
+        set_up_time: Micros,
     },
     /// An attempt ended.
-    Ended(End),
-    /// The caller has gone; nothing is owed.
+    AttemptEnded(AttemptEnd),
+    /// The caller has gone: the module owes the call no further action.
     CallerGone(CallId),
-    /// A timer of the module's is due.
+    /// A timer of the module has expired; carries the token of [`Action::SetTimer`].
     Timer(u64),
-    /// A probe has ended, or (not asked for) a group has changed.
-    Probed {
-        /// The exchange.
-        exchange: ExchangeId,
-        /// It answered.
+    /// The result of a probe, or an unsolicited load report.
+    SwitchStatus {
+        /// The switch.
+        switch: SwitchId,
+        /// The probe was answered.
         answered: bool,
-        /// How long it took; 0 when it was not asked for.
-        took: Micros,
-        /// What it reports.
-        report: Report,
+        /// How long the probe took; 0 for an unsolicited report.
+        round_trip: Micros,
+        /// The load that the switch reports.
+        report: LoadReport,
     },
-    /// A message from another call agent.
-    Peer {
-        /// Its number among the agents.
+    /// A message from another gatekeeper.
+    PeerMessage {
+        /// Index of the gatekeeper.
         from: u32,
-        /// What it sent.
+        /// Contents of the message.
         data: Vec<u8>,
     },
 }
 
-/// What is to be done, in the order given.
+/// An action that the module asks for. Actions are carried out in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a set-up.
-    Send {
+    SendSetUp {
         /// The call.
         call: CallId,
-        /// To the exchange of its destination, or through this one as tandem.
-        exchange: ExchangeId,
-        /// The attempt's time-out.
+        /// A switch of the call's destination, or one that serves the call as tandem.
+        switch: SwitchId,
+        /// Time-out of the attempt.
         timeout: Micros,
     },
-    /// Final answer: turned away.
-    Refuse {
+    /// Final answer: the call is rejected and may be tried again.
+    Reject {
         /// The call.
         call: CallId,
-        /// How long the caller should stay away; 0 says nothing.
+        /// How long the caller should wait before it redials; 0 gives no advice.
         back_off: Micros,
     },
-    /// Final answer: failed.
+    /// Final answer: the call has failed.
     Fail(CallId),
     /// Stop waiting for an attempt.
     Cancel {
         /// The call.
         call: CallId,
-        /// The attempt.
+        /// Index of the attempt.
         attempt: u32,
     },
-    /// Probe an exchange.
-    Probe(ExchangeId),
-    /// Ask for changes to the list from now on.
+    /// Probe a switch.
+    Probe(SwitchId),
+    /// Subscribe to updates of the switch list.
     Subscribe,
-    /// Wake the module.
-    Timer {
-        /// After this long.
+    /// Start a timer.
+    SetTimer {
+        /// Time until it expires.
         after: Micros,
-        /// With this token.
+        /// Token that the [`Event::Timer`] carries.
         token: u64,
     },
-    /// A line for the operators' log.
+    /// Write a line to the operators' log.
     Log(String),
 }
--- a/src/net/callers.rs
+++ b/src/net/callers.rs
@@ -4,7 +4,7 @@
 use super::link::{Link, Progress};
 use super::{Node, Unread, log};
 use crate::call::{Due, Fault, Origin, SetUp, Tag, cause};
-use crate::interface::{Micros, Number};
+use crate::interface::{ExchangeNumber, Micros};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use std::collections::{BTreeMap, VecDeque};
@@ -438,7 +438,7 @@
         let (name, value) = figure.split_once(':')?;
         // What is no number, or none at all, must not pass as nought.
         let value = value.parse::<f64>().ok().filter(|v| v.is_finite())?;
-        let whole = (value.fract() == 0.0 && value.abs() <= 1e9).then_some(value as Number);
+        let whole = (value.fract() == 0.0 && value.abs() <= 1e9).then_some(value as ExchangeNumber);
         match name {
             "dest" => new.destination = whole?,
             "width" => new.width = value,
--- a/src/net/feed.rs
+++ b/src/net/feed.rs
@@ -6,7 +6,7 @@
 use super::{Node, Unread, log};
 use crate::call::Due;
 use crate::clock::Clock;
-use crate::interface::{Health, List, Listed, Micros, Number};
+use crate::interface::{ExchangeNumber, Health, Micros, SwitchEntry, SwitchListUpdate};
 use calloop::LoopHandle;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
     dial: String,
     #[serde(default)]
     site: String,
-    block: Number,
+    block: ExchangeNumber,
     health: Word,
     #[serde(default)]
     born_ms: f64,
@@ -285,16 +285,26 @@
                 }
             };
             let host = entry.host(&self.clock);
-            let (zone, number) = (self.driver.zone(&entry.site), host.number);
+            let (zone, exchange_number) = (self.driver.zone(&entry.site), host.number);
             let (health, up_since) = (host.health, host.up_since);
-            let exchange = self.switches.id(&host.name, health);
-            listed.extend(exchange.map(|exchange| Listed { exchange, zone, number, health, up_since }));
+            let switch = self.switches.id(&host.name, health);
+            listed.extend(switch.map(|switch| SwitchEntry {
+                switch,
+                zone,
+                exchange_number,
+                health,
+                up_since,
+            }));
             names.push(host.name.clone());
             self.host(host);
         }
         if members.whole {
             self.keep_hosts(&names);
         }
-        self.driver.list(if members.whole { List::Full(listed) } else { List::Change(listed) });
+        self.driver.list(if members.whole {
+            SwitchListUpdate::Full(listed)
+        } else {
+            SwitchListUpdate::Changes(listed)
+        });
     }
 }
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -1,6 +1,6 @@
 //! The JSON lines that carrier switches speak: pure and incremental.
 
-use crate::interface::{Cause, Report};
+use crate::interface::{EndReason, LoadReport};
 use crate::settings::set_report;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -51,8 +51,8 @@
     }
 
     /// The report that it carries, such as `x0:12;x1:40;queue:3`.
-    pub fn report(&self) -> Report {
-        let mut report = Report::default();
+    pub fn report(&self) -> LoadReport {
+        let mut report = LoadReport::default();
         for pair in self.field("load").unwrap_or_default().split(';') {
             if let Some((name, value)) = pair.split_once(':')
                 && let Ok(value) = value.trim().parse()
@@ -64,18 +64,18 @@
     }
 
     /// What the switch notes of a release.
-    pub fn note(&self) -> Cause {
+    pub fn note(&self) -> EndReason {
         match self.field("note").as_deref() {
-            Some("atb") => Cause::NoCircuit,
-            Some("rtb") => Cause::TurnedBack,
-            Some("racc") => Cause::FullBeyond,
-            Some("sub") => Cause::NumberBusy,
+            Some("atb") => EndReason::NoCircuit,
+            Some("rtb") => EndReason::RejectedByTandem,
+            Some("racc") => EndReason::CongestedBeyondTandem,
+            Some("sub") => EndReason::SubscriberBusy,
             Some("acc") => {
                 let waited = self.field("waited").and_then(|w| w.parse::<f64>().ok()).unwrap_or(0.0);
                 // Out-of-range floats saturate, and what is no number becomes 0.
-                Cause::ProcessorFull((waited.clamp(0.0, 1e9) * 1000.0) as i64)
+                EndReason::ProcessorCongested((waited.clamp(0.0, 1e9) * 1000.0) as i64)
             }
-            _ => Cause::None,
+            _ => EndReason::Unknown,
         }
     }
 
@@ -142,12 +142,21 @@
             let text = format!("{{\"verb\":\"FINISH\",\"tag\":\"\",\"opts\":{opts}}}\n");
             decode(text.as_bytes()).unwrap().unwrap().0
         };
-        assert_eq!(read(r#"{"note":"acc","waited":"1200"}"#).note(), Cause::ProcessorFull(1_200_000));
-        assert_eq!(read(r#"{"note":"acc","waited":1e300}"#).note(), Cause::ProcessorFull(1_000_000_000_000));
-        assert_eq!(read(r#"{"note":"racc"}"#).note(), Cause::FullBeyond);
-        assert_eq!(read(r#"{"note":"odd"}"#).note(), Cause::None);
+        assert_eq!(
+            read(r#"{"note":"acc","waited":"1200"}"#).note(),
+            EndReason::ProcessorCongested(1_200_000)
+        );
+        assert_eq!(
+            read(r#"{"note":"acc","waited":1e300}"#).note(),
+            EndReason::ProcessorCongested(1_000_000_000_000)
+        );
+        assert_eq!(read(r#"{"note":"racc"}"#).note(), EndReason::CongestedBeyondTandem);
+        assert_eq!(read(r#"{"note":"odd"}"#).note(), EndReason::Unknown);
         let report = read(r#"{"load":"x0:12;x1:40;queue:3;x9:1;bad"}"#).report();
-        assert_eq!((report.free, report.size, report.waiting), (Some(12.0), Some(40.0), Some(3.0)));
+        assert_eq!(
+            (report.free_circuits, report.group_size, report.waiting_messages),
+            (Some(12.0), Some(40.0), Some(3.0))
+        );
     }
 
     #[test]
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::call::{Command, Driver, Due, Limits, Origin};
 use crate::clock::Clock;
-use crate::interface::{ExchangeId, Micros, Settings};
+use crate::interface::{Micros, Settings, SwitchId};
 use crate::settings::{self, Names};
 use callers::Callers;
 use calloop::signals::{Signal, Signals};
@@ -128,7 +128,7 @@
         let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let pairs = settings::flatten(&file.settings);
         let (mut settings, names) = settings::build(&pairs).map_err(|p| format!("settings: {p}"))?;
-        settings.release += ON_SOCKETS;
+        settings.release_wait += ON_SOCKETS;
         let budget = Budget::new(
             file.limits.sockets.unwrap_or(1024),
             (file.limits.memory_mb.unwrap_or(192.0).clamp(8.0, 1e6) * 1e6) as usize,
@@ -162,7 +162,7 @@
     /// What it says, in one line.
     pub fn summary(&self) -> String {
         let (events, classes, here) =
-            (self.known.events.len(), self.settings.classes.len(), self.settings.here);
+            (self.known.events.len(), self.settings.classes.len(), self.settings.own_exchange);
         format!("{}: exchange {here}, {classes} classes, {events} events known", self.name)
     }
 }
@@ -171,7 +171,7 @@
 #[derive(Clone, Copy)]
 enum Unread {
     Caller(Origin),
-    Switch(ExchangeId),
+    Switch(SwitchId),
     Feed,
 }
 
@@ -217,7 +217,7 @@
 
     let mut clock = Clock::start();
     let now = clock.now();
-    let here = config.settings.here;
+    let here = config.settings.own_exchange;
     let budget = config.budget;
     let callers = Callers::listen(handle.clone(), config.listen, budget.callers, budget.caller_unsent)
         .map_err(|e| format!("listen on {}: {e}", config.listen))?;
--- a/src/net/switches.rs
+++ b/src/net/switches.rs
@@ -5,7 +5,7 @@
 use super::link::{Link, Progress};
 use super::{Node, Unread, log};
 use crate::call::{Due, Release, Tag, cause};
-use crate::interface::{Cause, ExchangeId, Health, Micros, Number, Report};
+use crate::interface::{EndReason, ExchangeNumber, Health, LoadReport, Micros, SwitchId};
 use calloop::LoopHandle;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -77,7 +77,7 @@
     /// Where it listens.
     pub address: Option<SocketAddr>,
     /// Its number.
-    pub number: Number,
+    pub number: ExchangeNumber,
     /// Its state.
     pub health: Health,
     /// When it last started, if that is known.
@@ -119,20 +119,20 @@
     /// Idle connections are closed after this.
     keepalive: Micros,
     /// The own exchange: nothing is sent there.
-    here: Number,
+    here: ExchangeNumber,
     /// Most bytes that wait for one switch.
     most_unsent: usize,
     /// Those that are listed and not gone.
-    switches: BTreeMap<ExchangeId, Switch>,
+    switches: BTreeMap<SwitchId, Switch>,
     /// Their names on the wire and the module's ids: mapped here alone.
-    names: HashMap<String, ExchangeId>,
+    names: HashMap<String, SwitchId>,
     last: u64,
 }
 
 impl Switches {
     /// No switch is known yet.
     pub fn new(
-        handle: LoopHandle<'static, Node>, connect_timeout: Micros, keepalive: Micros, here: Number,
+        handle: LoopHandle<'static, Node>, connect_timeout: Micros, keepalive: Micros, here: ExchangeNumber,
         most_unsent: usize,
     ) -> Self {
         let (switches, names) = (BTreeMap::new(), HashMap::new());
@@ -140,14 +140,14 @@
     }
 
     /// The module's id of a switch that the list names; none for one that is gone and was not known.
-    pub fn id(&mut self, name: &str, health: Health) -> Option<ExchangeId> {
+    pub fn id(&mut self, name: &str, health: Health) -> Option<SwitchId> {
         let known = self.names.get(name).copied();
         if known.is_some() || health == Health::Gone {
             return known;
         }
         self.last += 1;
-        self.names.insert(name.to_string(), ExchangeId(self.last));
-        Some(ExchangeId(self.last))
+        self.names.insert(name.to_string(), SwitchId(self.last));
+        Some(SwitchId(self.last))
     }
 
     /// Whether every switch in service has reported its group or could not be reached.
@@ -164,7 +164,7 @@
     }
 
     /// Writes to an open connection; false if there is none.
-    fn write(&mut self, id: ExchangeId, message: &Message) -> bool {
+    fn write(&mut self, id: SwitchId, message: &Message) -> bool {
         match self.switches.get_mut(&id).map(|s| &mut s.state) {
             Some(State::Open(open)) => message.encode(open.link.output()),
             _ => false,
@@ -172,7 +172,7 @@
     }
 
     /// Gives a set-up up, or releases a call.
-    pub fn give_up(&mut self, id: ExchangeId, tag: Tag) {
+    pub fn give_up(&mut self, id: SwitchId, tag: Tag) {
         if let Some(switch) = self.switches.get_mut(&id) {
             let waited = switch.waiting.len();
             switch.waiting.retain(|w| w.0 != tag);
@@ -190,17 +190,17 @@
 
     /// Gives a call up at every switch.
     pub fn give_up_anywhere(&mut self, tag: Tag) {
-        let ids: Vec<ExchangeId> = self.switches.keys().copied().collect();
+        let ids: Vec<SwitchId> = self.switches.keys().copied().collect();
         ids.into_iter().for_each(|id| self.give_up(id, tag));
     }
 
     /// Probes a switch.
-    pub fn probe(&mut self, id: ExchangeId, tag: Tag) {
+    pub fn probe(&mut self, id: SwitchId, tag: Tag) {
         self.write(id, &Message { rc: Some(0), ..Message::new("ECHO", tag) });
     }
 
     /// Writes what waits; returns the connections that broke.
-    pub fn flush(&mut self) -> Vec<ExchangeId> {
+    pub fn flush(&mut self) -> Vec<SwitchId> {
         let mut broken = Vec::new();
         for (id, switch) in &mut self.switches {
             if let State::Open(open) = &mut switch.state
@@ -229,9 +229,9 @@
         // Guards against an address that a new switch has taken over: what was meant for the old one must not
         // reach it, even while the list still names both.
         if before.as_ref().is_none_or(|b| b.address != host.address) {
-            let same = |(_, s): &(&ExchangeId, &Switch)| s.wanted() && s.host.address == host.address;
+            let same = |(_, s): &(&SwitchId, &Switch)| s.wanted() && s.host.address == host.address;
             let others = self.switches.switches.iter().filter(|(other, _)| **other != id);
-            let taken: Vec<ExchangeId> = others.filter(same).map(|(other, _)| *other).collect();
+            let taken: Vec<SwitchId> = others.filter(same).map(|(other, _)| *other).collect();
             for other in taken {
                 log(&format!("switch {} has the address of another, which is gone", host.name));
                 self.drop_link(other);
@@ -283,7 +283,7 @@
 
     /// A switch is gone for good: what stood there is over, nothing is owed to it, and its entry and its id go.
     /// Switches come and go without end.
-    fn forget_switch(&mut self, now: Micros, id: ExchangeId, name: &str) {
+    fn forget_switch(&mut self, now: Micros, id: SwitchId, name: &str) {
         if self.switches.switches.contains_key(&id) {
             log(&format!("switch {name} is Gone"));
         }
@@ -297,12 +297,12 @@
     pub(super) fn keep_hosts(&mut self, names: &[String]) {
         let now = self.clock.now();
         let gone = self.switches.names.iter().filter(|(name, _)| !names.contains(name));
-        let gone: Vec<(String, ExchangeId)> = gone.map(|(name, id)| (name.clone(), *id)).collect();
+        let gone: Vec<(String, SwitchId)> = gone.map(|(name, id)| (name.clone(), *id)).collect();
         gone.into_iter().for_each(|(name, id)| self.forget_switch(now, id, &name));
     }
 
     /// Sends a set-up: at once, or when the connection is up.
-    pub(super) fn send_set_up(&mut self, id: ExchangeId, tag: Tag, mut message: Message, until: Micros) {
+    pub(super) fn send_set_up(&mut self, id: SwitchId, tag: Tag, mut message: Message, until: Micros) {
         let now = self.clock.now();
         let Some(switch) = self.switches.switches.get_mut(&id).filter(|s| s.wanted()) else {
             return self.driver.unreachable(id, &[tag]);
@@ -320,8 +320,11 @@
             open.asked.get_or_insert(now);
             if !left(&mut message, until - now).encode(open.link.output()) {
                 log(&format!("set-up {tag:016x} is too long to be passed on"));
-                let release =
-                    Release { cause: cause::UNAVAILABLE, note: Cause::None, report: Report::default() };
+                let release = Release {
+                    cause: cause::UNAVAILABLE,
+                    note: EndReason::Unknown,
+                    report: LoadReport::default(),
+                };
                 self.driver.ended(now, id, tag, release);
             }
             return;
@@ -331,7 +334,7 @@
     }
 
     /// Starts to connect to a switch that has no connection.
-    fn connect(&mut self, id: ExchangeId) {
+    fn connect(&mut self, id: SwitchId) {
         let now = self.clock.now();
         let until = now + self.switches.connect_timeout;
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
@@ -349,7 +352,7 @@
     }
 
     /// No connection came up.
-    fn not_connected(&mut self, id: ExchangeId, why: &str) {
+    fn not_connected(&mut self, id: SwitchId, why: &str) {
         let now = self.clock.now();
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
         if switch.lost_since.is_none() {
@@ -366,7 +369,7 @@
     }
 
     /// Looks after a connection that is open: has the switch been silent on it for too long?
-    fn watch(&mut self, id: ExchangeId) {
+    fn watch(&mut self, id: SwitchId) {
         let now = self.clock.now();
         let (used, oldest) = (self.driver.uses(id), self.driver.oldest_out(id));
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
@@ -410,7 +413,7 @@
     }
 
     /// A switch has been silent, and no new connection came up.
-    fn silent_for_good(&mut self, id: ExchangeId) {
+    fn silent_for_good(&mut self, id: SwitchId) {
         let now = self.clock.now();
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
         log(&format!("switch {} is silent and no new connection comes up", switch.host.name));
@@ -422,7 +425,7 @@
 
     /// The second connection takes the place of one on which nothing comes any more, though the switch lives.
     /// Guards against a connection that has failed and stays open: set-ups would go there for good, unanswered.
-    fn replace_link(&mut self, id: ExchangeId) {
+    fn replace_link(&mut self, id: SwitchId) {
         let now = self.clock.now();
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
         let Some(trial) = switch.trial.take() else { return };
@@ -437,7 +440,7 @@
     }
 
     /// The one place where a connection that was replaced is given back, with the set-ups that are open on it.
-    fn close_retired(&mut self, id: ExchangeId) {
+    fn close_retired(&mut self, id: SwitchId) {
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
         if let Some(retired) = switch.retired.take() {
             retired.link.close(&self.switches.handle);
@@ -446,13 +449,13 @@
     }
 
     /// The one place where a second connection is given back.
-    fn close_trial(&mut self, id: ExchangeId) {
+    fn close_trial(&mut self, id: SwitchId) {
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
         switch.trial.take().into_iter().for_each(|t| t.link.close(&self.switches.handle));
     }
 
     /// Reads a second connection and one that was replaced.
-    fn read_others(&mut self, id: ExchangeId) {
+    fn read_others(&mut self, id: SwitchId) {
         let now = self.clock.now();
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
         if let Some(trial) = &mut switch.trial {
@@ -483,7 +486,7 @@
     }
 
     /// Takes what a connection has said; false if it is over.
-    fn heard_lines(&mut self, now: Micros, id: ExchangeId, (messages, result, progress): Said) -> bool {
+    fn heard_lines(&mut self, now: Micros, id: SwitchId, (messages, result, progress): Said) -> bool {
         let result = messages.into_iter().try_for_each(|m| self.heard_switch(now, id, m)).and(result);
         if progress == Progress::More {
             self.unread.push(Unread::Switch(id));
@@ -492,19 +495,19 @@
     }
 
     /// Drops the connection to a switch, if there is one, and with it what was open on it.
-    pub(super) fn drop_link(&mut self, id: ExchangeId) {
+    pub(super) fn drop_link(&mut self, id: SwitchId) {
         let now = self.clock.now();
         self.close_link(id, now);
     }
 
     /// Closes the connection to a switch; the next is tried then.
-    fn close_link(&mut self, id: ExchangeId, retry_at: Micros) {
+    fn close_link(&mut self, id: SwitchId, retry_at: Micros) {
         let now = self.clock.now();
         self.end_link(id, retry_at, now);
     }
 
     /// The one place where a connection to a switch is given back, with the set-ups that were sent up to then.
-    fn end_link(&mut self, id: ExchangeId, retry_at: Micros, up_to: Micros) {
+    fn end_link(&mut self, id: SwitchId, retry_at: Micros, up_to: Micros) {
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
         match std::mem::replace(&mut switch.state, State::Closed { retry_at }) {
             State::Open(open) => {
@@ -523,7 +526,7 @@
     }
 
     /// Something is due on a switch's connection.
-    pub(super) fn link_due(&mut self, id: ExchangeId) {
+    pub(super) fn link_due(&mut self, id: SwitchId) {
         let now = self.clock.now();
         match self.switches.switches.get(&id).map(|s| &s.state) {
             Some(State::Connecting { until, .. }) if *until <= now => {
@@ -536,7 +539,7 @@
     }
 
     /// Something has come on a switch's connection, or it has room again.
-    pub(super) fn switch_ready(&mut self, id: ExchangeId) {
+    pub(super) fn switch_ready(&mut self, id: SwitchId) {
         let now = self.clock.now();
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
         if let State::Connecting { link, .. } = &switch.state {
@@ -572,7 +575,7 @@
     }
 
     /// A connection has come up: the set-ups that waited for it go out.
-    fn link_up(&mut self, id: ExchangeId) {
+    fn link_up(&mut self, id: SwitchId) {
         let now = self.clock.now();
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
         (switch.retry, switch.lost_since, switch.last_heard) = (RETRY.0, None, now);
@@ -591,7 +594,7 @@
         }
     }
 
-    fn heard_switch(&mut self, now: Micros, id: ExchangeId, message: Message) -> Result<(), &'static str> {
+    fn heard_switch(&mut self, now: Micros, id: SwitchId, message: Message) -> Result<(), &'static str> {
         if let Some(switch) = self.switches.switches.get_mut(&id) {
             (switch.heard, switch.last_heard) = (true, now);
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! One builder of the module's [`Settings`]: from the adapter's flat pairs, and from the nested JSON of the
 //! configuration, which is flattened to the same paths first. Unknown keys are ignored.
 
-use crate::interface::{Class, Group, Micros, Repeat, Report, Settings, Tenant};
+use crate::interface::{CallClass, DeduplicationScope, LoadReport, Micros, RepeatPolicy, Settings, Tenant};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -41,17 +41,17 @@
 }
 
 /// Puts a named value of a load report in its place; unknown names and values that make no sense are left out.
-pub fn set_report(report: &mut Report, name: &str, value: f64) {
+pub fn set_report(report: &mut LoadReport, name: &str, value: f64) {
     let v = (value.is_finite() && value >= 0.0).then_some(value);
     match name {
-        "free" | "x0" => report.free = v,
-        "size" | "x1" => report.size = v,
-        "active" | "inflight" => report.active = v,
-        "waiting" | "queue" => report.waiting = v,
-        "cpu" | "util" => report.busy = v,
-        "avg_ms" | "latency_ms" => report.wait = v.map(|ms| ms * 1000.0),
-        "can_take" | "qps" => report.can_take = v,
-        "hold_back" | "eps" => report.hold_back = v,
+        "free" | "x0" => report.free_circuits = v,
+        "size" | "x1" => report.group_size = v,
+        "active" | "inflight" => report.active_messages = v,
+        "waiting" | "queue" => report.waiting_messages = v,
+        "cpu" | "util" => report.utilization = v,
+        "avg_ms" | "latency_ms" => report.wait_us = v.map(|ms| ms * 1000.0),
+        "can_take" | "qps" => report.max_set_ups_per_s = v,
+        "hold_back" | "eps" => report.requested_reduction = v,
         _ => {}
     }
 }
@@ -165,24 +165,32 @@
     for i in 0..info.count("services")? {
         let key = |k: &str| format!("services.{i}.{k}");
         names.classes.push(info.text(&key("name"))?.to_string());
-        let skilled = match pairs.get(&format!("familyInfo.skilledPools.{i}")) {
+        let eligible_pools = match pairs.get(&format!("familyInfo.skilledPools.{i}")) {
             Some(list) => list.split(',').filter_map(|n| n.parse().ok()).collect(),
             None => vec![],
         };
-        classes.push(Class {
-            aim: info.seconds(&key("aimS"))?,
-            worth: info.amount(&key("worth"))?,
-            late_worth: info.amount(&key("lateWorth"))?,
-            repeat: info.one_of(
+        classes.push(CallClass {
+            set_up_target: info.seconds(&key("aimS"))?,
+            value: info.amount(&key("worth"))?,
+            late_value_factor: info.amount(&key("lateWorth"))?,
+            repeat_policy: info.one_of(
                 &key("repeat"),
-                &[("pure", Repeat::Pure), ("token", Repeat::Token), ("side_effect", Repeat::SideEffect)],
+                &[
+                    ("pure", RepeatPolicy::Idempotent),
+                    ("token", RepeatPolicy::Deduplicated),
+                    ("side_effect", RepeatPolicy::AtMostOnce),
+                ],
             )?,
-            group: info.one_of(
+            deduplication_scope: info.one_of(
                 &key("group"),
-                &[("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)],
+                &[
+                    ("all", DeduplicationScope::AllExchanges),
+                    ("zone", DeduplicationScope::Zone),
+                    ("cell", DeduplicationScope::Exchange),
+                ],
             )?,
-            repeat_window: info.seconds(&key("repeatWindowS"))?,
-            skilled,
+            deduplication_window: info.seconds(&key("repeatWindowS"))?,
+            eligible_pools,
         });
     }
     if classes.is_empty() {
@@ -195,29 +203,29 @@
     }
     names.zones = info.text("failureDomains")?.split(',').map(str::to_string).collect();
     let settings = Settings {
-        here: info.whole("familyInfo.here", -1.0)? as i64,
-        agents: info.whole("groupSize", 1.0)? as u32,
-        pools: info.one_of("familyInfo.topology", &[("mesh", false), ("pools", true)])?,
+        own_exchange: info.whole("familyInfo.here", -1.0)? as i64,
+        gatekeeper_count: info.whole("groupSize", 1.0)? as u32,
+        pool_topology: info.one_of("familyInfo.topology", &[("mesh", false), ("pools", true)])?,
         must_subscribe: info.one_of("membershipMode", &[("automatic", false), ("subscribe", true)])?,
-        ask_within: info.seconds("rules.askWithinS")?,
+        list_known_after: info.seconds("rules.askWithinS")?,
         classes,
         tenants,
-        over_share_worth: info.amount("overShareWorth")?,
-        release: info.seconds("familyInfo.releaseS")?,
-        resend: info.seconds("familyInfo.resendS")?,
-        step: info.seconds("stepS")?,
-        most_attempts: info.whole("limits.mostTries", 0.0)? as u32,
+        over_quota_value_factor: info.amount("overShareWorth")?,
+        release_wait: info.seconds("familyInfo.releaseS")?,
+        retransmit_after: info.seconds("familyInfo.resendS")?,
+        min_batch_interval: info.seconds("stepS")?,
+        max_attempts: info.whole("limits.mostTries", 0.0)? as u32,
         may_cancel: info.flag("limits.cancel")?,
         may_probe: info.flag("limits.probes")?,
-        probe_price: info.number("prices.probe")?,
-        may_back_off: info.flag("limits.retryAfter")?,
-        longest_back_off: info.seconds("limits.maxRetryAfterS")?,
+        probe_cost: info.number("prices.probe")?,
+        may_send_back_off: info.flag("limits.retryAfter")?,
+        max_back_off: info.seconds("limits.maxRetryAfterS")?,
         drain_grace: info.seconds("rules.drainGraceS")?,
-        cold_from: info.amount("rules.coldFrom")?,
-        warm_within: info.seconds("rules.warmWithinS")?,
-        tip_multiple: info.amount("rules.tipMultiple")?,
-        fall: info.seconds("rules.fallS")?,
-        far_reports: info.text("reporting.via")? == "answers",
+        cold_capacity_share: info.amount("rules.coldFrom")?,
+        warm_up_time: info.seconds("rules.warmWithinS")?,
+        cold_overload_factor: info.amount("rules.tipMultiple")?,
+        cold_overload_duration: info.seconds("rules.fallS")?,
+        load_reports_enabled: info.text("reporting.via")? == "answers",
     };
     Ok((settings, names))
 }
@@ -293,10 +301,10 @@
 
     #[test]
     fn reports_are_read_by_either_set_of_names() {
-        let (mut a, mut b) = (Report::default(), Report::default());
+        let (mut a, mut b) = (LoadReport::default(), LoadReport::default());
         [("free", 3.0), ("avg_ms", 2.0), ("new", 1.0)].iter().for_each(|(n, v)| set_report(&mut a, n, *v));
         [("x0", 3.0), ("latency_ms", 2.0), ("x1", -1.0)].iter().for_each(|(n, v)| set_report(&mut b, n, *v));
         assert_eq!(a, b);
-        assert_eq!((a.free, a.wait, a.size), (Some(3.0), Some(2000.0), None));
+        assert_eq!((a.free_circuits, a.wait_us, a.group_size), (Some(3.0), Some(2000.0), None));
     }
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -2,7 +2,8 @@
 
 use crate::control::Controller;
 use crate::interface::{
-    Action, CallId, Cause, End, Event, ExchangeId, Health, List, Listed, Micros, NewCall, Outcome, Report,
+    Action, AttemptEnd, CallId, EndReason, Event, Health, LoadReport, Micros, NewCall, Outcome, SwitchEntry,
+    SwitchId, SwitchListUpdate,
 };
 use crate::settings::{self, Names, micros};
 use std::collections::BTreeMap;
@@ -83,8 +84,8 @@
         }
     }
 
-    fn report(&mut self, field: &str) -> Res<Report> {
-        let mut report = Report::default();
+    fn report(&mut self, field: &str) -> Res<LoadReport> {
+        let mut report = LoadReport::default();
         let text = self.text(field)?;
         if text == "-" || text.is_empty() {
             return Ok(report);
@@ -107,7 +108,7 @@
     names: Names,
 }
 
-type Row = (Listed, String);
+type Row = (SwitchEntry, String);
 
 /// Reads batches from `input` until it ends and writes one reply to each.
 ///
@@ -220,10 +221,10 @@
     if parts.name != "ROW" {
         return parts.fault("name", "ROW expected");
     }
-    let exchange = ExchangeId(parts.parse("exchange")?);
+    let switch = SwitchId(parts.parse("exchange")?);
     let zone = parts.text("rackZone")?.to_string();
     parts.text("classOfHost")?;
-    let number = parts.parse("pointCode")?;
+    let exchange_number = parts.parse("pointCode")?;
     let health = match parts.text("health")? {
         "in_service" => Health::InService,
         "terminating" => Health::Draining,
@@ -233,7 +234,7 @@
     parts.maybe::<f64>("capacityHint")?;
     let up: Option<f64> = parts.maybe("cameUpS")?;
     let up_since = up.filter(|s| *s > 0.0).map(micros);
-    Ok((Listed { exchange, zone: 0, number, health, up_since }, zone))
+    Ok((SwitchEntry { switch, zone: 0, exchange_number, health, up_since }, zone))
 }
 
 /// The place of a name among those of the settings; `-`, 0 and nothing are 'none'.
@@ -253,7 +254,7 @@
             let how = parts.text("how")?;
             parts.text("serial")?;
             if how == "X" {
-                return Ok(Event::List(List::Failed));
+                return Ok(Event::SwitchList(SwitchListUpdate::Failed));
             }
             let number: u64 = parts.parse("ref")?;
             let Some(rows) = lists.get(&number) else {
@@ -263,11 +264,11 @@
             for (listed, zone) in rows {
                 // A zone that the settings do not name is a zone of its own.
                 let zone = names.zones.iter().position(|z| z == zone).unwrap_or(names.zones.len()) as u32;
-                entries.push(Listed { zone, ..listed.clone() });
+                entries.push(SwitchEntry { zone, ..listed.clone() });
             }
             match how {
-                "F" | "C" => Event::List(List::Full(entries)),
-                "D" => Event::List(List::Change(entries)),
+                "F" | "C" => Event::SwitchList(SwitchListUpdate::Full(entries)),
+                "D" => Event::SwitchList(SwitchListUpdate::Changes(entries)),
                 _ => return parts.fault("how", "unknown word"),
             }
         }
@@ -277,25 +278,25 @@
                 return parts.fault("tierClass", "missing");
             };
             let tenant = index(parts, "tenant", &names.tenants)?;
-            let called = parts.text("object")?.to_string();
-            let give_up_at = parts.seconds("giveUpAtS")?;
+            let called_number = parts.text("object")?.to_string();
+            let deadline = parts.seconds("giveUpAtS")?;
             parts.maybe::<f64>("sizeHintS")?;
             let destination = parts.parse::<f64>("farEnd")? as i64;
-            let width: f64 = parts.parse("units")?;
-            let via = parts.parse::<f64>("tandem")? as i64;
+            let circuits: f64 = parts.parse("units")?;
+            let via_exchange = parts.parse::<f64>("tandem")? as i64;
             let redial = parts.flag("againByClient")?;
             parts.flag("update")?;
             let transit = parts.flag("tandemCall")?;
             parts.flag("cameBack")?;
-            Event::Call(NewCall {
+            Event::NewCall(NewCall {
                 id,
                 class,
                 tenant,
-                called,
-                give_up_at,
+                called_number,
+                deadline,
                 destination,
-                width,
-                via,
+                circuits,
+                via_exchange,
                 redial,
                 transit,
             })
@@ -304,34 +305,34 @@
             let call = CallId(parts.parse("rid")?);
             let attempt = parts.parse("sendNo")?;
             parts.parse::<u64>("exchange")?;
-            Event::Standing { call, attempt, took: parts.seconds("waitTimeS")? }
+            Event::Established { call, attempt, set_up_time: parts.seconds("waitTimeS")? }
         }
         "COMPLETED" => {
             let call = CallId(parts.parse("rid")?);
             let attempt = parts.parse("sendNo")?;
-            let exchange = ExchangeId(parts.parse("exchange")?);
+            let switch = SwitchId(parts.parse("exchange")?);
             let outcome = outcome(parts, "outcome")?;
             parts.seconds("waitTimeS")?;
-            let closed = parts.flag("closed")?;
+            let call_closed = parts.flag("closed")?;
             let code = parts.maybe::<f64>("clearCode")?.map_or(0, |c| c as i64);
-            let cause = match code {
-                1 => Cause::NoCircuit,
-                2 => Cause::TurnedBack,
-                18 => Cause::FullBeyond,
-                4 => Cause::NumberBusy,
-                c if c > 0 && c & 15 == 3 => Cause::ProcessorFull((c >> 4) * 1000),
-                _ => Cause::None,
+            let reason = match code {
+                1 => EndReason::NoCircuit,
+                2 => EndReason::RejectedByTandem,
+                18 => EndReason::CongestedBeyondTandem,
+                4 => EndReason::SubscriberBusy,
+                c if c > 0 && c & 15 == 3 => EndReason::ProcessorCongested((c >> 4) * 1000),
+                _ => EndReason::Unknown,
             };
             let report = parts.report("stats")?;
-            Event::Ended(End { call, attempt, exchange, outcome, cause, closed, report })
+            Event::AttemptEnded(AttemptEnd { call, attempt, switch, outcome, reason, call_closed, report })
         }
         "CANCELLED_BY_CLIENT" => Event::CallerGone(CallId(parts.parse("rid")?)),
         "DEADLINE_HIT" => Event::Timer(parts.parse("ref")?),
         "ECHO" => {
-            let exchange = ExchangeId(parts.parse("exchange")?);
-            let answered = outcome(parts, "outcome")? == Outcome::Ended;
-            let took = parts.seconds("waitTimeS")?;
-            Event::Probed { exchange, answered, took, report: parts.report("stats")? }
+            let switch = SwitchId(parts.parse("exchange")?);
+            let answered = outcome(parts, "outcome")? == Outcome::Completed;
+            let round_trip = parts.seconds("waitTimeS")?;
+            Event::SwitchStatus { switch, answered, round_trip, report: parts.report("stats")? }
         }
         "HEARD" => {
             let from = parts.parse("from")?;
@@ -339,7 +340,7 @@
                 Some(data) => data,
                 None => return parts.fault("contents", "is not hex"),
             };
-            Event::Peer { from, data }
+            Event::PeerMessage { from, data }
         }
         _ => return parts.fault("name", "unknown message"),
     })
@@ -347,9 +348,9 @@
 
 fn outcome(parts: &mut Parts, field: &str) -> Res<Outcome> {
     Ok(match parts.parse::<i64>(field)? {
-        0 => Outcome::Ended,
-        5 => Outcome::Error,
-        11 => Outcome::Full,
+        0 => Outcome::Completed,
+        5 => Outcome::Failed,
+        11 => Outcome::Congested,
         110 => Outcome::TimedOut,
         111 => Outcome::Unreachable,
         104 => Outcome::Reset,
@@ -374,17 +375,17 @@
     for action in actions {
         // Writing to a String cannot fail.
         let _ = match action {
-            Action::Send { call, exchange, timeout } => {
-                writeln!(reply, "HAND_OFF\t{who}\t{}\t{}\t{}", call.0, exchange.0, s(*timeout))
+            Action::SendSetUp { call, switch, timeout } => {
+                writeln!(reply, "HAND_OFF\t{who}\t{}\t{}\t{}", call.0, switch.0, s(*timeout))
             }
-            Action::Refuse { call, back_off } => {
+            Action::Reject { call, back_off } => {
                 writeln!(reply, "REJECT\t{who}\t{}\t{}", call.0, s(*back_off))
             }
             Action::Fail(call) => writeln!(reply, "GIVE_UP\t{who}\t{}", call.0),
             Action::Cancel { call, attempt } => writeln!(reply, "CALL_OFF\t{who}\t{}\t{attempt}", call.0),
             Action::Probe(exchange) => writeln!(reply, "POLL\t{who}\t{}", exchange.0),
             Action::Subscribe => writeln!(reply, "STREAM_CHANGES\t{who}\t1"),
-            Action::Timer { after, token } => writeln!(reply, "WAKE_AT\t{who}\t{}\t{token}", s(*after)),
+            Action::SetTimer { after, token } => writeln!(reply, "WAKE_AT\t{who}\t{}\t{token}", s(*after)),
             Action::Log(line) => writeln!(reply, "TRACE\t{who}\t{line}"),
         };
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -90,43 +90,43 @@
 /// Settings of the small mesh.
 pub fn settings() -> Settings {
     Settings {
-        here: 0,
-        agents: 3,
-        pools: false,
+        own_exchange: 0,
+        gatekeeper_count: 3,
+        pool_topology: false,
         must_subscribe: false,
-        ask_within: sec(10),
-        classes: vec![Class {
-            aim: ms(1500),
-            worth: 1.0,
-            late_worth: 0.25,
-            repeat: Repeat::Pure,
-            group: Group::All,
-            repeat_window: sec(5),
-            skilled: vec![],
+        list_known_after: sec(10),
+        classes: vec![CallClass {
+            set_up_target: ms(1500),
+            value: 1.0,
+            late_value_factor: 0.25,
+            repeat_policy: RepeatPolicy::Idempotent,
+            deduplication_scope: DeduplicationScope::AllExchanges,
+            deduplication_window: sec(5),
+            eligible_pools: vec![],
         }],
         tenants: vec![],
-        over_share_worth: 0.1,
-        release: ms(200),
-        resend: ms(400),
-        step: ms(5),
-        most_attempts: 4,
+        over_quota_value_factor: 0.1,
+        release_wait: ms(200),
+        retransmit_after: ms(400),
+        min_batch_interval: ms(5),
+        max_attempts: 4,
         may_cancel: true,
         may_probe: false,
-        probe_price: 0.004,
-        may_back_off: true,
-        longest_back_off: sec(2),
+        probe_cost: 0.004,
+        may_send_back_off: true,
+        max_back_off: sec(2),
         drain_grace: sec(1),
-        cold_from: 0.3,
-        warm_within: sec(12),
-        tip_multiple: 2.0,
-        fall: sec(2),
-        far_reports: false,
+        cold_capacity_share: 0.3,
+        warm_up_time: sec(12),
+        cold_overload_factor: 2.0,
+        cold_overload_duration: sec(2),
+        load_reports_enabled: false,
     }
 }
 
 /// A line of the list.
-pub fn listed(exchange: u64, number: i64, health: Health, up_since: Option<Micros>) -> Listed {
-    Listed { exchange: ExchangeId(exchange), zone: 0, number, health, up_since }
+pub fn listed(exchange: u64, number: i64, health: Health, up_since: Option<Micros>) -> SwitchEntry {
+    SwitchEntry { switch: SwitchId(exchange), zone: 0, exchange_number: number, health, up_since }
 }
 
 #[allow(dead_code)]
@@ -158,7 +158,7 @@
         };
         rig.take(actions);
         let list = (0..3).map(|n| listed(100 + n, n as i64, Health::InService, None)).collect();
-        rig.event(Event::List(List::Full(list)));
+        rig.event(Event::SwitchList(SwitchListUpdate::Full(list)));
         for n in [101, 102] {
             rig.free(n, 10_000.0);
         }
@@ -168,13 +168,13 @@
     fn take(&mut self, actions: Vec<Action>) {
         for action in actions {
             match &action {
-                Action::Send { call, exchange, timeout } => {
+                Action::SendSetUp { call, switch, timeout } => {
                     let n = self.attempts.entry(call.0).or_insert(0);
-                    self.out.push((call.0, *n, exchange.0, self.now + timeout));
+                    self.out.push((call.0, *n, switch.0, self.now + timeout));
                     *n += 1;
-                    self.sends.push(Sent { call: call.0, exchange: exchange.0, at: self.now });
+                    self.sends.push(Sent { call: call.0, exchange: switch.0, at: self.now });
                 }
-                Action::Refuse { call, back_off } => {
+                Action::Reject { call, back_off } => {
                     self.refused += 1;
                     self.back_offs.push(*back_off);
                     self.answers.push((call.0, self.now));
@@ -183,7 +183,7 @@
                     self.failed += 1;
                     self.answers.push((call.0, self.now));
                 }
-                Action::Timer { after, token } => self.timers.push((self.now + after, *token)),
+                Action::SetTimer { after, token } => self.timers.push((self.now + after, *token)),
                 Action::Log(line) => self.logs.push(line.clone()),
                 _ => {}
             }
@@ -212,15 +212,15 @@
     fn order(&mut self, id: u64, to: i64, called: &str, transit: bool) -> Vec<u64> {
         let give_up_at = self.now + sec(3);
         self.give_up.push((id, give_up_at));
-        self.event(Event::Call(NewCall {
+        self.event(Event::NewCall(NewCall {
             id: CallId(id),
             class: 0,
             tenant: None,
-            called: called.into(),
-            give_up_at,
+            called_number: called.into(),
+            deadline: give_up_at,
             destination: to,
-            width: 1.0,
-            via: if transit { 2 } else { -1 },
+            circuits: 1.0,
+            via_exchange: if transit { 2 } else { -1 },
             redial: false,
             transit,
         }));
@@ -240,12 +240,15 @@
     }
 
     pub fn free(&mut self, exchange: u64, free: f64) {
-        let report = Report { free: Some(free), size: Some(30.0), ..Report::default() };
-        self.event(Event::Probed { exchange: ExchangeId(exchange), answered: true, took: 0, report });
+        let report =
+            LoadReport { free_circuits: Some(free), group_size: Some(30.0), ..LoadReport::default() };
+        self.event(Event::SwitchStatus { switch: SwitchId(exchange), answered: true, round_trip: 0, report });
     }
 
     pub fn change(&mut self, exchange: u64, number: i64, health: Health, up_since: Option<Micros>) {
-        self.event(Event::List(List::Change(vec![listed(exchange, number, health, up_since)])));
+        self.event(Event::SwitchList(SwitchListUpdate::Changes(vec![listed(
+            exchange, number, health, up_since,
+        )])));
     }
 
     pub fn is_out(&self, id: u64) -> bool {
@@ -254,7 +257,7 @@
 
     pub fn stands(&mut self, id: u64, attempt: u32, took: Micros) {
         self.out.retain(|o| o.0 != id);
-        self.event(Event::Standing { call: CallId(id), attempt, took });
+        self.event(Event::Established { call: CallId(id), attempt, set_up_time: took });
     }
 
     pub fn stands_if_out(&mut self, id: u64, took: Micros) {
@@ -264,11 +267,19 @@
     }
 
     pub fn ended(
-        &mut self, id: u64, attempt: u32, exchange: u64, outcome: Outcome, cause: Cause, closed: bool,
+        &mut self, id: u64, attempt: u32, exchange: u64, outcome: Outcome, cause: EndReason, closed: bool,
     ) {
         self.out.retain(|o| o.0 != id);
-        let (call, exchange, report) = (CallId(id), ExchangeId(exchange), Report::default());
-        self.event(Event::Ended(End { call, attempt, exchange, outcome, cause, closed, report }));
+        let (call, switch, report) = (CallId(id), SwitchId(exchange), LoadReport::default());
+        self.event(Event::AttemptEnded(AttemptEnd {
+            call,
+            attempt,
+            switch,
+            outcome,
+            reason: cause,
+            call_closed: closed,
+            report,
+        }));
     }
 
     /// Ends as timed out what has been out to this exchange past its time-out.
@@ -276,7 +287,7 @@
         let now = self.now;
         let due: Vec<_> = self.out.iter().filter(|o| o.2 == exchange && o.3 <= now).cloned().collect();
         for (id, attempt, exchange, _) in due {
-            self.ended(id, attempt, exchange, Outcome::TimedOut, Cause::None, false);
+            self.ended(id, attempt, exchange, Outcome::TimedOut, EndReason::Unknown, false);
         }
     }
 
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -48,7 +48,7 @@
     assert!(rig.call(1, 1).is_empty() && rig.answered(1));
     rig.change(101, 1, Health::InService, None);
     assert_eq!(rig.call(2, 1), vec![101]);
-    rig.event(Event::List(List::Full(vec![])));
+    rig.event(Event::SwitchList(SwitchListUpdate::Full(vec![])));
     assert!(rig.call(3, 1).is_empty() && rig.answered(3));
 }
 
@@ -66,7 +66,7 @@
     let mut rig = Rig::new(|_| {});
     rig.call(1, 1);
     let at = rig.now;
-    rig.ended(1, 0, 101, Outcome::Reset, Cause::None, false);
+    rig.ended(1, 0, 101, Outcome::Reset, EndReason::Unknown, false);
     rig.run(sec(1));
     let again = rig.sends.iter().filter(|s| s.call == 1).nth(1).expect("tried again");
     assert!(again.at >= at + ms(200));
@@ -160,7 +160,7 @@
     // Danger: with aims of half a second, trials up to two seconds apart refused nearly all calls to a processor
     // that was silent for a moment.
     let longest_wait = |aim: Micros| {
-        let mut rig = Rig::new(|set| set.classes[0].aim = aim);
+        let mut rig = Rig::new(|set| set.classes[0].set_up_target = aim);
         for id in 1..100 {
             // Answers from elsewhere show that it is not the own processor.
             rig.call(1000 + id, 2);
@@ -185,8 +185,8 @@
         rig.steady(100..130, ms(60), ms(100));
         (1..=5).for_each(|id| drop(rig.call(id, 1)));
         rig.run(ms(200));
-        let (exchange, answered, took) = (ExchangeId(101), alive, ms(20));
-        rig.event(Event::Probed { exchange, answered, took, report: Report::default() });
+        let (switch, answered, round_trip) = (SwitchId(101), alive, ms(20));
+        rig.event(Event::SwitchStatus { switch, answered, round_trip, report: LoadReport::default() });
         rig.steady(130..131, ms(60), ms(1800));
         rig.time_out(101);
         assert_eq!(rig.logs.iter().any(|l| l == "doubted 101"), !alive);
@@ -199,7 +199,7 @@
     let mut rig = Rig::new(|_| {});
     let reset = |rig: &mut Rig, ids: std::ops::Range<u64>| {
         ids.clone().for_each(|id| drop(rig.call(id, 1)));
-        ids.for_each(|id| rig.ended(id, 0, 101, Outcome::Reset, Cause::None, false));
+        ids.for_each(|id| rig.ended(id, 0, 101, Outcome::Reset, EndReason::Unknown, false));
     };
     reset(&mut rig, 1..5);
     assert!(rig.logs.is_empty(), "{:?}", rig.logs);
@@ -284,7 +284,7 @@
 fn a_refusal_names_a_back_off_within_the_aim() {
     // Danger: a redial after the aim earns a quarter and still costs its look.
     let mut rig = Rig::new(|_| {});
-    rig.event(Event::List(List::Full(vec![])));
+    rig.event(Event::SwitchList(SwitchListUpdate::Full(vec![])));
     rig.call(1, 1);
     assert_eq!(rig.back_offs, vec![ms(375)]);
 }
@@ -293,7 +293,7 @@
 fn a_busy_number_is_left_alone_but_its_exchange_is_not() {
     let mut rig = Rig::new(|_| {});
     rig.call_number(1, 1, "hot");
-    rig.ended(1, 0, 101, Outcome::Error, Cause::NumberBusy, false);
+    rig.ended(1, 0, 101, Outcome::Failed, EndReason::SubscriberBusy, false);
     assert!(rig.call_number(2, 1, "hot").is_empty());
     assert_eq!(rig.call_number(3, 1, "other"), vec![101]);
     rig.run(ms(1100));
@@ -306,11 +306,11 @@
     let mut rig = Rig::new(|_| {});
     rig.free(101, 0.0);
     assert_eq!(rig.call(1, 1), vec![102]);
-    rig.ended(1, 0, 102, Outcome::Full, Cause::TurnedBack, false);
+    rig.ended(1, 0, 102, Outcome::Congested, EndReason::RejectedByTandem, false);
     assert!(rig.call(2, 1).is_empty());
     rig.run(ms(8100));
     assert_eq!(rig.call(3, 1), vec![102]);
-    rig.ended(3, 0, 102, Outcome::Full, Cause::TurnedBack, false);
+    rig.ended(3, 0, 102, Outcome::Congested, EndReason::RejectedByTandem, false);
     rig.run(ms(8100));
     assert!(rig.call(4, 1).is_empty(), "full twice in a row counts for twice as long");
     rig.run(ms(8000));
@@ -332,7 +332,7 @@
 fn among_tandems_with_room_those_last_seen_with_room_beyond_come_first() {
     let mut rig = Rig::new(|_| {});
     let more = (3..40).map(|n| listed(100 + n, n as i64, Health::InService, None)).collect();
-    rig.event(Event::List(List::Change(more)));
+    rig.event(Event::SwitchList(SwitchListUpdate::Changes(more)));
     (103..140).for_each(|n| rig.free(n, 100.0));
     rig.free(101, 0.0);
     let first = rig.call(1, 1);
@@ -345,9 +345,9 @@
 
 #[test]
 fn a_side_effect_call_that_may_have_run_is_failed_and_never_sent_again() {
-    let mut rig = Rig::new(|s| s.classes[0].repeat = Repeat::SideEffect);
+    let mut rig = Rig::new(|s| s.classes[0].repeat_policy = RepeatPolicy::AtMostOnce);
     rig.call(1, 1);
-    rig.ended(1, 0, 101, Outcome::Reset, Cause::None, false);
+    rig.ended(1, 0, 101, Outcome::Reset, EndReason::Unknown, false);
     rig.run(sec(2));
     assert_eq!(rig.sent_of(1).len(), 1);
     assert_eq!((rig.answers_of(1), rig.failed), (1, 1));
@@ -356,15 +356,15 @@
 #[test]
 fn late_repeated_and_unknown_events_change_nothing() {
     let mut rig = Rig::new(|_| {});
-    let report = Report { free: Some(f64::NAN), wait: Some(-5.0), ..Report::default() };
-    rig.event(Event::Standing { call: CallId(77), attempt: 3, took: ms(5) });
-    rig.ended(77, 0, 101, Outcome::TimedOut, Cause::None, false);
-    rig.ended(77, 9, 999, Outcome::Ended, Cause::None, true);
+    let report = LoadReport { free_circuits: Some(f64::NAN), wait_us: Some(-5.0), ..LoadReport::default() };
+    rig.event(Event::Established { call: CallId(77), attempt: 3, set_up_time: ms(5) });
+    rig.ended(77, 0, 101, Outcome::TimedOut, EndReason::Unknown, false);
+    rig.ended(77, 9, 999, Outcome::Completed, EndReason::Unknown, true);
     rig.event(Event::CallerGone(CallId(77)));
     rig.event(Event::Timer(u64::MAX));
-    rig.event(Event::Probed { exchange: ExchangeId(999), answered: true, took: 0, report });
-    rig.event(Event::Probed { exchange: ExchangeId(101), answered: true, took: 0, report });
-    rig.event(Event::Peer { from: 9, data: vec![1, 2, 3] });
+    rig.event(Event::SwitchStatus { switch: SwitchId(999), answered: true, round_trip: 0, report });
+    rig.event(Event::SwitchStatus { switch: SwitchId(101), answered: true, round_trip: 0, report });
+    rig.event(Event::PeerMessage { from: 9, data: vec![1, 2, 3] });
     rig.run(ms(100));
     assert_eq!(rig.call(1, 1), vec![101]);
 }
@@ -427,7 +427,8 @@
     // Danger: a processor that fails most set-ups at once loses all of its callers to redials.
     let mut rig = Rig::new(|_| {});
     let sends = |rig: &Rig, id: u64| rig.sends.iter().filter(|s| s.call == id).count();
-    let fails = |rig: &mut Rig, id, attempt| rig.ended(id, attempt, 101, Outcome::Error, Cause::None, false);
+    let fails =
+        |rig: &mut Rig, id, attempt| rig.ended(id, attempt, 101, Outcome::Failed, EndReason::Unknown, false);
     rig.steady(100..130, ms(60), ms(100));
     // A single one may be the call's own fault.
     rig.call(1, 1);
@@ -532,10 +533,10 @@
 fn senseless_input_changes_nothing_and_hundreds_of_exchanges_are_no_matter() {
     let mut rig = Rig::new(|_| {});
     let many = (3..400).map(|n| listed(100 + n, n as i64, Health::InService, None)).collect();
-    rig.event(Event::List(List::Change(many)));
+    rig.event(Event::SwitchList(SwitchListUpdate::Changes(many)));
     // No group to 1, and none known of beyond: one tandem, at random.
-    let none = Report { free: Some(0.0), size: Some(0.0), ..Report::default() };
-    rig.event(Event::Probed { exchange: ExchangeId(101), answered: true, took: 0, report: none });
+    let none = LoadReport { free_circuits: Some(0.0), group_size: Some(0.0), ..LoadReport::default() };
+    rig.event(Event::SwitchStatus { switch: SwitchId(101), answered: true, round_trip: 0, report: none });
     assert_eq!(rig.call(1, 1).len(), 1);
     // A destination that is on no list, of the own callers and in transit, is answered at once.
     assert!(rig.call(2, 9_999).is_empty() && rig.answered(2));
@@ -544,15 +545,19 @@
     // Unknown calls, exchanges, timers, and peer messages of any bytes.
     let before = (rig.sends.len(), rig.answers.len());
     rig.event(Event::CallerGone(CallId(77)));
-    rig.event(Event::Standing { call: CallId(77), attempt: 3, took: -5 });
-    rig.ended(77, 9, 55_555, Outcome::Reset, Cause::TurnedBack, true);
+    rig.event(Event::Established { call: CallId(77), attempt: 3, set_up_time: -5 });
+    rig.ended(77, 9, 55_555, Outcome::Reset, EndReason::RejectedByTandem, true);
     rig.event(Event::Timer(u64::MAX));
     for data in [vec![], vec![0xff; 256], vec![7; 10_000]] {
-        rig.event(Event::Peer { from: u32::MAX, data });
+        rig.event(Event::PeerMessage { from: u32::MAX, data });
     }
-    let odd =
-        Report { free: Some(f64::NAN), size: Some(-1.0), wait: Some(f64::INFINITY), ..Report::default() };
-    rig.event(Event::Probed { exchange: ExchangeId(102), answered: true, took: -1, report: odd });
+    let odd = LoadReport {
+        free_circuits: Some(f64::NAN),
+        group_size: Some(-1.0),
+        wait_us: Some(f64::INFINITY),
+        ..LoadReport::default()
+    };
+    rig.event(Event::SwitchStatus { switch: SwitchId(102), answered: true, round_trip: -1, report: odd });
     assert_eq!(before, (rig.sends.len(), rig.answers.len()));
     // The clock leaps by seconds between events; what is owed is still answered.
     rig.now += sec(7);
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -49,9 +49,9 @@
     fn check(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { call, exchange, timeout } => {
+                Action::SendSetUp { call, switch, timeout } => {
                     self.sends += 1;
-                    let (number, ending) = self.exchanges[&exchange.0];
+                    let (number, ending) = self.exchanges[&switch.0];
                     let c = self.calls.get_mut(&call.0).expect("a call that was given");
                     assert!(!c.done && !c.standing, "rule 1: sent after its end");
                     assert!(c.out.is_none(), "rule 2: two attempts out");
@@ -60,23 +60,23 @@
                         assert!(self.now <= since + self.set.drain_grace, "rule 3");
                     }
                     if let Some(at) = c.doubtful_at {
-                        assert!(self.now >= at + self.set.release, "rule 5");
+                        assert!(self.now >= at + self.set.release_wait, "rule 5");
                     }
-                    assert!(c.attempts < self.set.most_attempts, "attempt limit");
+                    assert!(c.attempts < self.set.max_attempts, "attempt limit");
                     assert!(!c.transit || number == c.to, "transit only to its destination");
-                    assert!(number != self.set.here, "never to the own exchange");
-                    let side = self.set.classes[0].repeat == Repeat::SideEffect;
+                    assert!(number != self.set.own_exchange, "never to the own exchange");
+                    let side = self.set.classes[0].repeat_policy == RepeatPolicy::AtMostOnce;
                     assert!(!(side && c.may_have_run), "a side effect twice");
-                    c.out = Some((c.attempts, exchange.0, self.now + timeout));
+                    c.out = Some((c.attempts, switch.0, self.now + timeout));
                     c.attempts += 1;
                 }
-                Action::Refuse { call, .. } | Action::Fail(call) => {
+                Action::Reject { call, .. } | Action::Fail(call) => {
                     self.answers += 1;
-                    let side = self.set.classes[0].repeat == Repeat::SideEffect;
+                    let side = self.set.classes[0].repeat_policy == RepeatPolicy::AtMostOnce;
                     let c = self.calls.get_mut(&call.0).expect("a call that was given");
                     assert!(!c.done, "rule 1: two final answers");
                     assert!(self.now <= c.give_up_at + ms(20), "rule 1: too late");
-                    if matches!(action, Action::Refuse { .. }) {
+                    if matches!(action, Action::Reject { .. }) {
                         assert!(
                             !(side && (c.may_have_run || c.out.is_some())),
                             "refused after it may have run"
@@ -84,7 +84,7 @@
                     }
                     c.done = true;
                 }
-                Action::Timer { after, token } => self.timers.push((self.now + after, token)),
+                Action::SetTimer { after, token } => self.timers.push((self.now + after, token)),
                 Action::Cancel { call, attempt } => {
                     assert!(self.set.may_cancel && attempt < self.calls[&call.0].attempts);
                 }
@@ -95,19 +95,27 @@
         }
     }
 
-    fn end(&mut self, id: u64, outcome: Outcome, cause: Cause) {
+    fn end(&mut self, id: u64, outcome: Outcome, cause: EndReason) {
         let c = self.calls.get_mut(&id).unwrap();
         let Some((attempt, exchange, _)) = c.out.take() else { return };
-        if !matches!(outcome, Outcome::Full | Outcome::NotSent | Outcome::Unreachable) {
+        if !matches!(outcome, Outcome::Congested | Outcome::NotSent | Outcome::Unreachable) {
             c.may_have_run = true;
         }
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
             c.doubtful_at = Some(self.now);
         }
-        let closed = c.done || c.standing || outcome == Outcome::Ended;
+        let closed = c.done || c.standing || outcome == Outcome::Completed;
         c.done |= closed;
-        let (call, exchange, report) = (CallId(id), ExchangeId(exchange), Report::default());
-        self.event(Event::Ended(End { call, attempt, exchange, outcome, cause, closed, report }));
+        let (call, switch, report) = (CallId(id), SwitchId(exchange), LoadReport::default());
+        self.event(Event::AttemptEnded(AttemptEnd {
+            call,
+            attempt,
+            switch,
+            outcome,
+            reason: cause,
+            call_closed: closed,
+            report,
+        }));
     }
 
     fn step(&mut self, round: u64) {
@@ -118,7 +126,7 @@
         due.into_iter().for_each(|t| self.event(Event::Timer(t)));
         let expired: Vec<u64> =
             self.calls.iter().filter(|c| c.1.out.is_some_and(|o| o.2 <= now)).map(|c| *c.0).collect();
-        expired.into_iter().for_each(|id| self.end(id, Outcome::TimedOut, Cause::None));
+        expired.into_iter().for_each(|id| self.end(id, Outcome::TimedOut, EndReason::Unknown));
         for c in self.calls.values().filter(|c| !c.done && !c.standing) {
             assert!(now <= c.give_up_at + ms(20), "rule 1: unanswered");
         }
@@ -141,15 +149,15 @@
                 id: CallId(round),
                 class: 0,
                 tenant: None,
-                called: format!("n{}", self.rng.next_u32() % 9),
-                give_up_at,
+                called_number: format!("n{}", self.rng.next_u32() % 9),
+                deadline: give_up_at,
                 destination: to,
-                width: 1.0,
-                via: -1,
+                circuits: 1.0,
+                via_exchange: -1,
                 redial: self.rng.next_u32().is_multiple_of(4),
                 transit,
             };
-            self.event(Event::Call(new));
+            self.event(Event::NewCall(new));
         }
         let out: Vec<u64> = self.calls.iter().filter(|c| c.1.out.is_some()).map(|c| *c.0).collect();
         if !out.is_empty() {
@@ -162,16 +170,16 @@
                         let (attempt, _, until) = c.out.unwrap();
                         c.out = Some((attempt, c.out.unwrap().1, until + sec(20)));
                         let took = ms(40 + self.below(900) as i64);
-                        self.event(Event::Standing { call: CallId(id), attempt, took });
+                        self.event(Event::Established { call: CallId(id), attempt, set_up_time: took });
                     }
                 }
-                4 => self.end(id, Outcome::Full, Cause::TurnedBack),
-                5 => self.end(id, Outcome::Full, Cause::ProcessorFull(ms(300))),
-                6 => self.end(id, Outcome::Reset, Cause::None),
-                7 => self.end(id, Outcome::Unreachable, Cause::None),
-                8 => self.end(id, Outcome::NotSent, Cause::NoCircuit),
-                9 => self.end(id, Outcome::Error, Cause::NumberBusy),
-                10 => self.end(id, Outcome::Ended, Cause::None),
+                4 => self.end(id, Outcome::Congested, EndReason::RejectedByTandem),
+                5 => self.end(id, Outcome::Congested, EndReason::ProcessorCongested(ms(300))),
+                6 => self.end(id, Outcome::Reset, EndReason::Unknown),
+                7 => self.end(id, Outcome::Unreachable, EndReason::Unknown),
+                8 => self.end(id, Outcome::NotSent, EndReason::NoCircuit),
+                9 => self.end(id, Outcome::Failed, EndReason::SubscriberBusy),
+                10 => self.end(id, Outcome::Completed, EndReason::Unknown),
                 11 => {
                     let c = self.calls.get_mut(&id).unwrap();
                     if !c.standing && !c.done {
@@ -191,13 +199,14 @@
             let since = (health != Health::InService).then_some(now);
             let known = self.exchanges.get(&id).and_then(|e| e.1);
             self.exchanges.insert(id, (number, since.map(|s| known.unwrap_or(s))));
-            self.event(Event::List(List::Change(vec![listed(id, number, health, up)])));
+            self.event(Event::SwitchList(SwitchListUpdate::Changes(vec![listed(id, number, health, up)])));
         }
         if self.below(10) == 0 {
             let free = self.below(6) as f64;
-            let report = Report { free: Some(free), size: Some(20.0), ..Report::default() };
-            let exchange = ExchangeId(100 + self.below(5));
-            self.event(Event::Probed { exchange, answered: true, took: 0, report });
+            let report =
+                LoadReport { free_circuits: Some(free), group_size: Some(20.0), ..LoadReport::default() };
+            let switch = SwitchId(100 + self.below(5));
+            self.event(Event::SwitchStatus { switch, answered: true, round_trip: 0, report });
         }
     }
 }
@@ -205,11 +214,13 @@
 fn play(seed: u64) -> (usize, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut set = settings();
-    set.classes[0].repeat = [Repeat::Pure, Repeat::SideEffect, Repeat::Token][(rng.next_u32() % 3) as usize];
-    set.most_attempts = 1 + rng.next_u32() % 4;
+    set.classes[0].repeat_policy =
+        [RepeatPolicy::Idempotent, RepeatPolicy::AtMostOnce, RepeatPolicy::Deduplicated]
+            [(rng.next_u32() % 3) as usize];
+    set.max_attempts = 1 + rng.next_u32() % 4;
     set.may_cancel = rng.next_u32().is_multiple_of(2);
-    set.may_back_off = rng.next_u32().is_multiple_of(2);
-    set.release = ms(100 + i64::from(rng.next_u32() % 400));
+    set.may_send_back_off = rng.next_u32().is_multiple_of(2);
+    set.release_wait = ms(100 + i64::from(rng.next_u32() % 400));
     let now = sec(50);
     let mut actions = Vec::new();
     let module = Controller::new(set.clone(), seed, now, &mut actions);
@@ -218,7 +229,7 @@
     let mut w = World { rng, now, module, set, timers: vec![], calls, exchanges, sends: 0, answers: 0 };
     w.check(actions);
     let list = (0..5).map(|n| listed(100 + n, n as i64, Health::InService, None)).collect();
-    w.event(Event::List(List::Full(list)));
+    w.event(Event::SwitchList(SwitchListUpdate::Full(list)));
     for round in 0..3000 {
         w.step(round);
     }
