--- a/src/call.rs
+++ b/src/call.rs
@@ -5,7 +5,8 @@
 
 use crate::control::Controller;
 use crate::interface::{
-    Action, CallId, Cause, End, Event, ExchangeId, List, Micros, NewCall, Number, Outcome, Report, Settings,
+    Action, AttemptEnd, CallId, EndReason, Event, ExchangeNumber, LoadReport, Micros, NewCall, Outcome,
+    Settings, SwitchId, SwitchListUpdate,
 };
 use crate::settings::IndexedNames;
 use crate::timers::TimerQueue;
@@ -50,7 +51,7 @@
 /// A probe that has not been answered after this time has failed.
 const PROBE_TIMEOUT: Micros = 250_000;
 /// Highest exchange number that a set-up may name.
-const MAX_EXCHANGE_NUMBER: Number = 1_000_000;
+const MAX_EXCHANGE_NUMBER: ExchangeNumber = 1_000_000;
 /// Most circuits that a set-up may take where the settings do not give the number for its class.
 const MAX_CIRCUITS: f64 = 1e3;
 /// Largest difference at which two numbers of circuits are equal.
@@ -93,12 +94,12 @@
     /// The caller has tried before.
     pub redial: bool,
     /// The number of the destination exchange.
-    pub destination: Number,
+    pub destination: ExchangeNumber,
     /// How many circuits the call takes.
     pub circuits: f64,
     /// The tandem that the caller was advised to use or, in transit, the exchange from which the call comes;
     /// -1 if there is none.
-    pub via: Number,
+    pub via: ExchangeNumber,
     /// The call is passed on by another gatekeeper.
     pub transit: bool,
     /// The session description, which is passed on unchanged.
@@ -111,9 +112,9 @@
     /// The Q.850 cause (see [`cause`]).
     pub cause: u8,
     /// The switch's note on the cause.
-    pub note: Cause,
+    pub note: EndReason,
     /// The load report that came with it.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 /// A message to send or a line to log. Commands are carried out in the order of the list.
@@ -122,7 +123,7 @@
     /// Send a set-up to a switch.
     SetUp {
         /// The switch.
-        switch: ExchangeId,
+        switch: SwitchId,
         /// The call.
         tag: Tag,
         /// The name of its class.
@@ -137,7 +138,7 @@
     /// Release an attempt or an answered call at a switch.
     ReleaseAtSwitch {
         /// The switch.
-        switch: ExchangeId,
+        switch: SwitchId,
         /// The call.
         tag: Tag,
     },
@@ -146,7 +147,7 @@
     /// Send a probe to a switch.
     Probe {
         /// The switch.
-        switch: ExchangeId,
+        switch: SwitchId,
         /// The tag of the probe.
         tag: Tag,
     },
@@ -201,7 +202,7 @@
     /// The time-out of a probe.
     ProbeTimeout(Tag),
     /// A time-out, reconnection or check of the connection to a switch.
-    SwitchConnection(ExchangeId),
+    SwitchConnection(SwitchId),
     /// A time-out or reconnection of the control feed.
     ControlFeed,
     /// The periodic check of the callers' connections.
@@ -213,7 +214,7 @@
 /// An attempt that is out at a switch.
 struct Attempt {
     number: u32,
-    switch: ExchangeId,
+    switch: SwitchId,
     sent_at: Micros,
 }
 
@@ -222,7 +223,7 @@
     /// decides on the call, holds it or waits before the next attempt.
     Unanswered(Option<Attempt>),
     /// The switch has answered the attempt whose set-up was sent at `sent_at`.
-    Answered { switch: ExchangeId, sent_at: Micros, attempt: u32 },
+    Answered { switch: SwitchId, sent_at: Micros, attempt: u32 },
 }
 
 struct Call {
@@ -241,7 +242,7 @@
 
 /// A probe that is out at a switch.
 struct Probe {
-    switch: ExchangeId,
+    switch: SwitchId,
     sent_at: Micros,
 }
 
@@ -287,7 +288,7 @@
 impl CallControl {
     /// Call control with an empty call table.
     pub fn new(settings: Settings, names: IndexedNames, limits: CallLimits, seed: u64, now: Micros) -> Self {
-        let batch_interval = settings.step;
+        let batch_interval = settings.min_batch_interval;
         let mut actions = Vec::new();
         let controller = Controller::new(settings, seed, now, &mut actions);
         let mut call_control = CallControl {
@@ -324,7 +325,7 @@
     }
 
     /// Whether a call has an attempt out at a switch or was answered by it.
-    pub fn has_calls_at(&self, switch: ExchangeId) -> bool {
+    pub fn has_calls_at(&self, switch: SwitchId) -> bool {
         self.calls.values().any(|call| match &call.state {
             CallState::Unanswered(attempt) => attempt.as_ref().is_some_and(|out| out.switch == switch),
             CallState::Answered { switch: answering, .. } => *answering == switch,
@@ -332,7 +333,7 @@
     }
 
     /// When the oldest of the attempts that are out at a switch was sent.
-    pub fn oldest_attempt_sent_at(&self, switch: ExchangeId) -> Option<Micros> {
+    pub fn oldest_attempt_sent_at(&self, switch: SwitchId) -> Option<Micros> {
         let sent_at = |call: &Call| match &call.state {
             CallState::Unanswered(Some(attempt)) if attempt.switch == switch => Some(attempt.sent_at),
             _ => None,
@@ -382,15 +383,15 @@
         let id = CallId(self.last_call_id);
         let caller_deadline = now.saturating_add(set_up.caller_timeout);
         self.call_ids.insert(set_up.tag, id);
-        self.pending_events.push(Event::Call(NewCall {
+        self.pending_events.push(Event::NewCall(NewCall {
             id,
             class: class_index,
             tenant: None,
-            called: set_up.called_number.clone(),
-            give_up_at: caller_deadline,
+            called_number: set_up.called_number.clone(),
+            deadline: caller_deadline,
             destination: set_up.destination,
-            width: set_up.circuits,
-            via: set_up.via,
+            circuits: set_up.circuits,
+            via_exchange: set_up.via,
             redial: set_up.redial,
             transit: set_up.transit,
         }));
@@ -481,7 +482,7 @@
     // Messages and connections of switches.
 
     /// Takes an answer from a switch.
-    pub fn handle_answer(&mut self, now: Micros, switch: ExchangeId, tag: Tag, description: Option<String>) {
+    pub fn handle_answer(&mut self, now: Micros, switch: SwitchId, tag: Tag, description: Option<String>) {
         let id = self.call_ids.get(&tag).copied();
         let call = id.and_then(|id| self.calls.get_mut(&id).map(|call| (id, call)));
         if let Some((id, call)) = call {
@@ -490,10 +491,10 @@
                     let attempt = out.number;
                     let sent_at = out.sent_at;
                     call.state = CallState::Answered { switch, sent_at, attempt };
-                    let took = now - sent_at;
+                    let set_up_time = now - sent_at;
                     // The caller's description is no longer needed, and an answered call may last long.
                     self.description_bytes -= call.description.take().map_or(0, |text| text.len());
-                    self.pending_events.push(Event::Standing { call: id, attempt, took });
+                    self.pending_events.push(Event::Established { call: id, attempt, set_up_time });
                     let connection = call.connection;
                     return self.commands.push(Command::Answer { connection, tag, description });
                 }
@@ -509,7 +510,7 @@
     }
 
     /// Takes a release from a switch, of an attempt or of an answered call.
-    pub fn handle_switch_release(&mut self, now: Micros, switch: ExchangeId, tag: Tag, release: Release) {
+    pub fn handle_switch_release(&mut self, now: Micros, switch: SwitchId, tag: Tag, release: Release) {
         let Some(id) = self.call_ids.get(&tag).copied() else {
             self.handle_load_report(switch, release.report);
             let was_answered = matches!(release.cause, cause::NORMAL_CLEARING | cause::TEMPORARY_FAILURE);
@@ -524,26 +525,26 @@
         match &call.state {
             CallState::Unanswered(Some(attempt)) if attempt.switch == switch => {
                 let outcome = match release.cause {
-                    cause::NO_CIRCUIT => Outcome::Full,
+                    cause::NO_CIRCUIT => Outcome::Congested,
                     cause::TIMER_EXPIRY => Outcome::NotSent,
                     cause::TEMPORARY_FAILURE => Outcome::Reset,
-                    _ => Outcome::Error,
+                    _ => Outcome::Failed,
                 };
                 let number = attempt.number;
                 call.state = CallState::Unanswered(None);
-                self.pending_events.push(Event::Ended(End {
+                self.pending_events.push(Event::AttemptEnded(AttemptEnd {
                     call: id,
                     attempt: number,
-                    exchange: switch,
+                    switch,
                     outcome,
-                    cause: release.note,
-                    closed: false,
+                    reason: release.note,
+                    call_closed: false,
                     report: release.report,
                 }));
             }
             CallState::Answered { switch: answering, .. } if *answering == switch => {
                 let outcome =
-                    if release.cause == cause::NORMAL_CLEARING { Outcome::Ended } else { Outcome::Reset };
+                    if release.cause == cause::NORMAL_CLEARING { Outcome::Completed } else { Outcome::Reset };
                 self.end_answered_call(now, id, release.cause, outcome, release.report);
             }
             // The release of an attempt that has already been released from this side.
@@ -552,37 +553,37 @@
     }
 
     /// Takes a load report that is not part of the answer to a probe. An empty one is ignored.
-    pub fn handle_load_report(&mut self, switch: ExchangeId, report: Report) {
-        if report != Report::default() {
-            self.pending_events.push(Event::Probed { exchange: switch, answered: true, took: 0, report });
+    pub fn handle_load_report(&mut self, switch: SwitchId, report: LoadReport) {
+        if report != LoadReport::default() {
+            self.pending_events.push(Event::SwitchStatus { switch, answered: true, round_trip: 0, report });
         }
     }
 
     /// A switch that did not answer has sent a message on a new connection, `response_time` after that was
     /// begun. To the controller this is the same as an answered probe.
-    pub fn handle_switch_responsive(&mut self, switch: ExchangeId, response_time: Micros) {
-        self.pending_events.push(Event::Probed {
-            exchange: switch,
+    pub fn handle_switch_responsive(&mut self, switch: SwitchId, response_time: Micros) {
+        self.pending_events.push(Event::SwitchStatus {
+            switch,
             answered: true,
-            took: response_time.max(1),
-            report: Report::default(),
+            round_trip: response_time.max(1),
+            report: LoadReport::default(),
         });
     }
 
     /// Takes the answer to a probe, or its time-out.
-    pub fn handle_probe_result(&mut self, now: Micros, tag: Tag, passed: bool, report: Report) {
+    pub fn handle_probe_result(&mut self, now: Micros, tag: Tag, passed: bool, report: LoadReport) {
         if let Some(probe) = self.probes.remove(&tag) {
-            self.pending_events.push(Event::Probed {
-                exchange: probe.switch,
+            self.pending_events.push(Event::SwitchStatus {
+                switch: probe.switch,
                 answered: passed,
-                took: (now - probe.sent_at).max(1),
+                round_trip: (now - probe.sent_at).max(1),
                 report,
             });
         }
     }
 
     /// These set-ups were never sent, as there is no connection to their switch.
-    pub fn fail_unsent_set_ups(&mut self, switch: ExchangeId, tags: &[Tag]) {
+    pub fn fail_unsent_set_ups(&mut self, switch: SwitchId, tags: &[Tag]) {
         for tag in tags {
             self.end_attempts(switch, Outcome::Unreachable, |call| call.tag == *tag);
         }
@@ -590,7 +591,7 @@
 
     /// A connection to a switch has ended, and with it the attempts that were sent there at `sent_until` or
     /// earlier.
-    pub fn handle_connection_lost(&mut self, switch: ExchangeId, sent_until: Micros) {
+    pub fn handle_connection_lost(&mut self, switch: SwitchId, sent_until: Micros) {
         let lost = |call: &Call| match &call.state {
             CallState::Unanswered(Some(attempt)) => attempt.sent_at <= sent_until,
             _ => false,
@@ -599,7 +600,7 @@
     }
 
     /// Ends the attempts at a switch of those calls that `selected` accepts.
-    fn end_attempts(&mut self, switch: ExchangeId, outcome: Outcome, selected: impl Fn(&Call) -> bool) {
+    fn end_attempts(&mut self, switch: SwitchId, outcome: Outcome, selected: impl Fn(&Call) -> bool) {
         let mut ended = Vec::new();
         for (id, call) in self.calls.iter_mut().filter(|(_, call)| selected(call)) {
             if let CallState::Unanswered(Some(attempt)) = &call.state
@@ -616,7 +617,7 @@
 
     /// A switch has failed or cannot be reached: releases the calls that it answered and whose set-ups were
     /// sent before `sent_before`.
-    pub fn handle_switch_down(&mut self, now: Micros, switch: ExchangeId, sent_before: Micros) {
+    pub fn handle_switch_down(&mut self, now: Micros, switch: SwitchId, sent_before: Micros) {
         let affected = |call: &Call| match call.state {
             CallState::Answered { switch: answering, sent_at, .. } => {
                 answering == switch && sent_at < sent_before
@@ -630,17 +631,19 @@
             if let Some(tag) = self.calls.get(&id).map(|call| call.tag) {
                 self.release_at_switch(tag, switch);
             }
-            self.end_answered_call(now, id, cause::TEMPORARY_FAILURE, Outcome::Reset, Report::default());
+            self.end_answered_call(now, id, cause::TEMPORARY_FAILURE, Outcome::Reset, LoadReport::default());
         }
     }
 
     /// Takes a list of switches, or changes to it.
-    pub fn handle_switch_list(&mut self, list: List) {
-        self.pending_events.push(Event::List(list));
+    pub fn handle_switch_list(&mut self, list: SwitchListUpdate) {
+        self.pending_events.push(Event::SwitchList(list));
     }
 
     /// Removes an answered call and releases it towards its caller.
-    fn end_answered_call(&mut self, now: Micros, id: CallId, cause: u8, outcome: Outcome, report: Report) {
+    fn end_answered_call(
+        &mut self, now: Micros, id: CallId, cause: u8, outcome: Outcome, report: LoadReport,
+    ) {
         let Some(call) = self.remove_call(now, id) else { return };
         let CallState::Answered { switch, attempt, .. } = call.state else { return };
         self.commands.push(Command::ReleaseToCaller {
@@ -648,13 +651,13 @@
             tag: call.tag,
             cause,
         });
-        self.pending_events.push(Event::Ended(End {
+        self.pending_events.push(Event::AttemptEnded(AttemptEnd {
             call: id,
             attempt,
-            exchange: switch,
+            switch,
             outcome,
-            cause: Cause::None,
-            closed: true,
+            reason: EndReason::Unknown,
+            call_closed: true,
             report,
         }));
     }
@@ -682,7 +685,7 @@
                     self.push_attempt_end(id, number, switch, Outcome::TimedOut, false);
                 }
             }
-            TimerEvent::ProbeTimeout(tag) => self.handle_probe_result(now, tag, false, Report::default()),
+            TimerEvent::ProbeTimeout(tag) => self.handle_probe_result(now, tag, false, LoadReport::default()),
             TimerEvent::SwitchConnection(_)
             | TimerEvent::ControlFeed
             | TimerEvent::CallerMaintenance
@@ -716,8 +719,8 @@
     fn execute_actions(&mut self, now: Micros) {
         for action in std::mem::take(&mut self.actions) {
             match action {
-                Action::Send { call, exchange, timeout } => self.send_attempt(now, call, exchange, timeout),
-                Action::Refuse { call, back_off } => {
+                Action::SendSetUp { call, switch, timeout } => self.send_attempt(now, call, switch, timeout),
+                Action::Reject { call, back_off } => {
                     self.reject_call(now, call, cause::CONGESTION, back_off);
                 }
                 Action::Fail(call) => self.reject_call(now, call, cause::TEMPORARY_FAILURE, 0),
@@ -741,7 +744,7 @@
                 }
                 // The control feed sends changes to the list without being asked.
                 Action::Subscribe => {}
-                Action::Timer { after, token } => {
+                Action::SetTimer { after, token } => {
                     let deadline = now.saturating_add(after.max(0));
                     self.timers.push(deadline, TimerEvent::ControllerWakeUp { token });
                 }
@@ -750,7 +753,7 @@
         }
     }
 
-    fn send_attempt(&mut self, now: Micros, id: CallId, switch: ExchangeId, timeout: Micros) {
+    fn send_attempt(&mut self, now: Micros, id: CallId, switch: SwitchId, timeout: Micros) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         let number = call.next_attempt;
         call.next_attempt += 1;
@@ -800,23 +803,23 @@
         }
     }
 
-    fn release_at_switch(&mut self, tag: Tag, switch: ExchangeId) {
+    fn release_at_switch(&mut self, tag: Tag, switch: SwitchId) {
         self.commands.push(Command::ReleaseAtSwitch { switch, tag });
     }
 
-    /// Reports the end of an attempt to the controller. `closed` tells it that there is nothing more to do
-    /// for the call.
+    /// Reports the end of an attempt to the controller. `call_closed` tells it that there is nothing more
+    /// to do for the call.
     fn push_attempt_end(
-        &mut self, call: CallId, attempt: u32, exchange: ExchangeId, outcome: Outcome, closed: bool,
+        &mut self, call: CallId, attempt: u32, switch: SwitchId, outcome: Outcome, call_closed: bool,
     ) {
-        self.pending_events.push(Event::Ended(End {
+        self.pending_events.push(Event::AttemptEnded(AttemptEnd {
             call,
             attempt,
-            exchange,
+            switch,
             outcome,
-            cause: Cause::None,
-            closed,
-            report: Report::default(),
+            reason: EndReason::Unknown,
+            call_closed,
+            report: LoadReport::default(),
         }));
     }
 
@@ -830,12 +833,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::interface::{Health, Listed};
+    use crate::interface::{Health, SwitchEntry};
     use crate::settings::{build_settings, flatten_json};
 
     const MS: Micros = 1_000;
     const CALLER: ConnectionId = ConnectionId(1);
-    const SWITCH: ExchangeId = ExchangeId(11);
+    const SWITCH: SwitchId = SwitchId(11);
 
     /// Call control of exchange 0 that knows a switch of exchange 1 with free circuits, at a time of 10 s.
     struct Fixture {
@@ -856,15 +859,16 @@
                 circuits_by_class: vec![1.0],
             };
             let mut call_control = CallControl::new(settings, names, limits, 7, now);
-            let listed = [(0, 10), (1, 11)].map(|(number, exchange)| Listed {
-                exchange: ExchangeId(exchange),
+            let listed = [(0, 10), (1, 11)].map(|(exchange_number, switch)| SwitchEntry {
+                switch: SwitchId(switch),
                 zone: 0,
-                number,
+                exchange_number,
                 health: Health::InService,
                 up_since: None,
             });
-            call_control.handle_switch_list(List::Full(listed.into()));
-            let report = Report { free: Some(9.0), size: Some(9.0), ..Report::default() };
+            call_control.handle_switch_list(SwitchListUpdate::Full(listed.into()));
+            let report =
+                LoadReport { free_circuits: Some(9.0), group_size: Some(9.0), ..LoadReport::default() };
             call_control.handle_load_report(SWITCH, report);
             let mut fixture = Fixture { call_control, now };
             assert_eq!(fixture.run_iteration(), []);
@@ -969,7 +973,7 @@
     #[test]
     fn events_wait_until_the_batch_interval_has_passed() {
         let mut fixture = Fixture::new();
-        let report = Report { free: Some(8.0), ..Report::default() };
+        let report = LoadReport { free_circuits: Some(8.0), ..LoadReport::default() };
         fixture.call_control.handle_load_report(SWITCH, report);
         fixture.now += MS;
         fixture.run_iteration();
@@ -998,8 +1002,11 @@
     #[test]
     fn release_of_an_unknown_call_is_passed_on_once_and_its_tag_is_kept_for_the_retention_time() {
         let mut fixture = Fixture::new();
-        let release =
-            || Release { cause: cause::NORMAL_CLEARING, note: Cause::None, report: Report::default() };
+        let release = || Release {
+            cause: cause::NORMAL_CLEARING,
+            note: EndReason::Unknown,
+            report: LoadReport::default(),
+        };
         let command = Command::ReleaseToCaller { connection: None, tag: 5, cause: cause::NORMAL_CLEARING };
         fixture.call_control.handle_switch_release(fixture.now, SWITCH, 5, release());
         fixture.call_control.handle_switch_release(fixture.now, SWITCH, 5, release());
@@ -1064,10 +1071,10 @@
         let [Command::Probe { switch: SWITCH, tag }] = commands[..] else { panic!("{commands:?}") };
         fixture.now += PROBE_TIMEOUT;
         fixture.call_control.handle_timer(fixture.now, TimerEvent::ProbeTimeout(tag));
-        fixture.call_control.handle_probe_result(fixture.now, tag, true, Report::default());
+        fixture.call_control.handle_probe_result(fixture.now, tag, true, LoadReport::default());
         assert!(matches!(
             fixture.call_control.pending_events[..],
-            [Event::Probed { answered: false, took: PROBE_TIMEOUT, .. }]
+            [Event::SwitchStatus { answered: false, round_trip: PROBE_TIMEOUT, .. }]
         ));
     }
 }
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -1,6 +1,6 @@
 //! Encoder and incremental decoder of the JSON lines exchanged with carrier switches. Does no I/O.
 
-use crate::interface::{Cause, Report};
+use crate::interface::{EndReason, LoadReport};
 use crate::settings::set_report_value;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -58,8 +58,8 @@
 
     /// Parses the load report in the field `load`, such as `x0:12;x1:40;queue:3`. Entries that cannot be
     /// parsed are skipped.
-    pub fn load_report(&self) -> Report {
-        let mut report = Report::default();
+    pub fn load_report(&self) -> LoadReport {
+        let mut report = LoadReport::default();
         for entry in self.field_text("load").unwrap_or_default().split(';') {
             if let Some((name, value)) = entry.split_once(':')
                 && let Ok(value) = value.trim().parse()
@@ -71,18 +71,18 @@
     }
 
     /// Returns the reason that the switch gives for a release in the field `note`.
-    pub fn release_reason(&self) -> Cause {
+    pub fn release_reason(&self) -> EndReason {
         match self.field_text("note").as_deref() {
-            Some("atb") => Cause::NoCircuit,
-            Some("rtb") => Cause::TurnedBack,
-            Some("racc") => Cause::FullBeyond,
-            Some("sub") => Cause::NumberBusy,
+            Some("atb") => EndReason::NoCircuit,
+            Some("rtb") => EndReason::RejectedByTandem,
+            Some("racc") => EndReason::CongestedBeyondTandem,
+            Some("sub") => EndReason::SubscriberBusy,
             Some("acc") => {
                 let waited_ms = self.field_text("waited").and_then(|w| w.parse::<f64>().ok()).unwrap_or(0.0);
                 // Values out of range are clamped; the cast turns NaN into 0.
-                Cause::ProcessorFull((waited_ms.clamp(0.0, 1e9) * 1000.0) as i64)
+                EndReason::ProcessorCongested((waited_ms.clamp(0.0, 1e9) * 1000.0) as i64)
             }
-            _ => Cause::None,
+            _ => EndReason::Unknown,
         }
     }
 
@@ -152,12 +152,18 @@
             decode(text.as_bytes()).unwrap().unwrap().0
         };
         let reason = |opts: &str| decode_with(opts).release_reason();
-        assert_eq!(reason(r#"{"note":"acc","waited":"1200"}"#), Cause::ProcessorFull(1_200_000));
-        assert_eq!(reason(r#"{"note":"acc","waited":1e300}"#), Cause::ProcessorFull(1_000_000_000_000));
-        assert_eq!(reason(r#"{"note":"racc"}"#), Cause::FullBeyond);
-        assert_eq!(reason(r#"{"note":"odd"}"#), Cause::None);
+        assert_eq!(reason(r#"{"note":"acc","waited":"1200"}"#), EndReason::ProcessorCongested(1_200_000));
+        assert_eq!(
+            reason(r#"{"note":"acc","waited":1e300}"#),
+            EndReason::ProcessorCongested(1_000_000_000_000)
+        );
+        assert_eq!(reason(r#"{"note":"racc"}"#), EndReason::CongestedBeyondTandem);
+        assert_eq!(reason(r#"{"note":"odd"}"#), EndReason::Unknown);
         let report = decode_with(r#"{"load":"x0:12;x1:40;queue:3;x9:1;bad"}"#).load_report();
-        assert_eq!((report.free, report.size, report.waiting), (Some(12.0), Some(40.0), Some(3.0)));
+        assert_eq!(
+            (report.free_circuits, report.group_size, report.waiting_messages),
+            (Some(12.0), Some(40.0), Some(3.0))
+        );
     }
 
     #[test]
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! Reads the controller's [`Settings`] from flat key-value pairs. The adapter receives these pairs directly;
 //! the nested JSON of the configuration file is first flattened to the same paths. Unknown keys are ignored.
 
-use crate::interface::{Class, Group, Micros, Repeat, Report, Settings, Tenant};
+use crate::interface::{CallClass, DeduplicationScope, LoadReport, Micros, RepeatPolicy, Settings, Tenant};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -42,17 +42,17 @@
 
 /// Stores one named value of a load report in its field. Unknown names are ignored; a value that is negative
 /// or not finite is stored as `None`.
-pub fn set_report_value(report: &mut Report, name: &str, value: f64) {
+pub fn set_report_value(report: &mut LoadReport, name: &str, value: f64) {
     let valid = (value.is_finite() && value >= 0.0).then_some(value);
     match name {
-        "free" | "x0" => report.free = valid,
-        "size" | "x1" => report.size = valid,
-        "active" | "inflight" => report.active = valid,
-        "waiting" | "queue" => report.waiting = valid,
-        "cpu" | "util" => report.busy = valid,
-        "avg_ms" | "latency_ms" => report.wait = valid.map(|ms| ms * 1000.0),
-        "can_take" | "qps" => report.can_take = valid,
-        "hold_back" | "eps" => report.hold_back = valid,
+        "free" | "x0" => report.free_circuits = valid,
+        "size" | "x1" => report.group_size = valid,
+        "active" | "inflight" => report.active_messages = valid,
+        "waiting" | "queue" => report.waiting_messages = valid,
+        "cpu" | "util" => report.utilization = valid,
+        "avg_ms" | "latency_ms" => report.wait_us = valid.map(|ms| ms * 1000.0),
+        "can_take" | "qps" => report.max_set_ups_per_s = valid,
+        "hold_back" | "eps" => report.requested_reduction = valid,
         _ => {}
     }
 }
@@ -179,24 +179,32 @@
     for index in 0..reader.list_length("services")? {
         let key = |name: &str| format!("services.{index}.{name}");
         names.classes.push(reader.text(&key("name"))?.to_string());
-        let skilled = match pairs.get(&format!("familyInfo.skilledPools.{index}")) {
+        let eligible_pools = match pairs.get(&format!("familyInfo.skilledPools.{index}")) {
             Some(list) => list.split(',').filter_map(|number| number.parse().ok()).collect(),
             None => vec![],
         };
-        classes.push(Class {
-            aim: reader.seconds(&key("aimS"))?,
-            worth: reader.non_negative(&key("worth"))?,
-            late_worth: reader.non_negative(&key("lateWorth"))?,
-            repeat: reader.one_of(
+        classes.push(CallClass {
+            set_up_target: reader.seconds(&key("aimS"))?,
+            value: reader.non_negative(&key("worth"))?,
+            late_value_factor: reader.non_negative(&key("lateWorth"))?,
+            repeat_policy: reader.one_of(
                 &key("repeat"),
-                &[("pure", Repeat::Pure), ("token", Repeat::Token), ("side_effect", Repeat::SideEffect)],
+                &[
+                    ("pure", RepeatPolicy::Idempotent),
+                    ("token", RepeatPolicy::Deduplicated),
+                    ("side_effect", RepeatPolicy::AtMostOnce),
+                ],
             )?,
-            group: reader.one_of(
+            deduplication_scope: reader.one_of(
                 &key("group"),
-                &[("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)],
+                &[
+                    ("all", DeduplicationScope::AllExchanges),
+                    ("zone", DeduplicationScope::Zone),
+                    ("cell", DeduplicationScope::Exchange),
+                ],
             )?,
-            repeat_window: reader.seconds(&key("repeatWindowS"))?,
-            skilled,
+            deduplication_window: reader.seconds(&key("repeatWindowS"))?,
+            eligible_pools,
         });
     }
     if classes.is_empty() {
@@ -209,29 +217,29 @@
     }
     names.zones = reader.text("failureDomains")?.split(',').map(str::to_string).collect();
     let settings = Settings {
-        here: reader.integer("familyInfo.here", -1.0)? as i64,
-        agents: reader.integer("groupSize", 1.0)? as u32,
-        pools: reader.one_of("familyInfo.topology", &[("mesh", false), ("pools", true)])?,
+        own_exchange: reader.integer("familyInfo.here", -1.0)? as i64,
+        gatekeeper_count: reader.integer("groupSize", 1.0)? as u32,
+        pool_topology: reader.one_of("familyInfo.topology", &[("mesh", false), ("pools", true)])?,
         must_subscribe: reader.one_of("membershipMode", &[("automatic", false), ("subscribe", true)])?,
-        ask_within: reader.seconds("rules.askWithinS")?,
+        list_known_after: reader.seconds("rules.askWithinS")?,
         classes,
         tenants,
-        over_share_worth: reader.non_negative("overShareWorth")?,
-        release: reader.seconds("familyInfo.releaseS")?,
-        resend: reader.seconds("familyInfo.resendS")?,
-        step: reader.seconds("stepS")?,
-        most_attempts: reader.integer("limits.mostTries", 0.0)? as u32,
+        over_quota_value_factor: reader.non_negative("overShareWorth")?,
+        release_wait: reader.seconds("familyInfo.releaseS")?,
+        retransmit_after: reader.seconds("familyInfo.resendS")?,
+        min_batch_interval: reader.seconds("stepS")?,
+        max_attempts: reader.integer("limits.mostTries", 0.0)? as u32,
         may_cancel: reader.boolean("limits.cancel")?,
         may_probe: reader.boolean("limits.probes")?,
-        probe_price: reader.number("prices.probe")?,
-        may_back_off: reader.boolean("limits.retryAfter")?,
-        longest_back_off: reader.seconds("limits.maxRetryAfterS")?,
+        probe_cost: reader.number("prices.probe")?,
+        may_send_back_off: reader.boolean("limits.retryAfter")?,
+        max_back_off: reader.seconds("limits.maxRetryAfterS")?,
         drain_grace: reader.seconds("rules.drainGraceS")?,
-        cold_from: reader.non_negative("rules.coldFrom")?,
-        warm_within: reader.seconds("rules.warmWithinS")?,
-        tip_multiple: reader.non_negative("rules.tipMultiple")?,
-        fall: reader.seconds("rules.fallS")?,
-        far_reports: reader.text("reporting.via")? == "answers",
+        cold_capacity_share: reader.non_negative("rules.coldFrom")?,
+        warm_up_time: reader.seconds("rules.warmWithinS")?,
+        cold_overload_factor: reader.non_negative("rules.tipMultiple")?,
+        cold_overload_duration: reader.seconds("rules.fallS")?,
+        load_reports_enabled: reader.text("reporting.via")? == "answers",
     };
     Ok((settings, names))
 }
@@ -318,13 +326,13 @@
     #[test]
     fn load_reports_are_read_by_either_set_of_names() {
         let read_report = |values: &[(&str, f64)]| {
-            let mut report = Report::default();
+            let mut report = LoadReport::default();
             values.iter().for_each(|(name, value)| set_report_value(&mut report, name, *value));
             report
         };
         let first = read_report(&[("free", 3.0), ("avg_ms", 2.0), ("new", 1.0)]);
         let second = read_report(&[("x0", 3.0), ("latency_ms", 2.0), ("x1", -1.0)]);
         assert_eq!(first, second);
-        assert_eq!((first.free, first.wait, first.size), (Some(3.0), Some(2000.0), None));
+        assert_eq!((first.free_circuits, first.wait_us, first.group_size), (Some(3.0), Some(2000.0), None));
     }
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -3,7 +3,8 @@
 
 use crate::control::Controller;
 use crate::interface::{
-    Action, CallId, Cause, End, Event, ExchangeId, Health, List, Listed, Micros, NewCall, Outcome, Report,
+    Action, AttemptEnd, CallId, EndReason, Event, Health, LoadReport, Micros, NewCall, Outcome, SwitchEntry,
+    SwitchId, SwitchListUpdate,
 };
 use crate::settings::{self, IndexedNames, seconds_to_micros};
 use std::collections::BTreeMap;
@@ -90,8 +91,8 @@
     }
 
     /// A load report, such as `free:3,size:30`; `-` and an empty field are a report without values.
-    fn load_report(&mut self, field: &str) -> AdapterResult<Report> {
-        let mut report = Report::default();
+    fn load_report(&mut self, field: &str) -> AdapterResult<LoadReport> {
+        let mut report = LoadReport::default();
         let text = self.text(field)?;
         if text == "-" || text.is_empty() {
             return Ok(report);
@@ -117,7 +118,7 @@
 /// A line of a list of exchanges. The zone is kept by name: its index depends on the settings of the instance
 /// that the list is given to.
 struct ListRow {
-    listed: Listed,
+    listed: SwitchEntry,
     zone_name: String,
 }
 
@@ -235,10 +236,10 @@
     if message.name != "ROW" {
         return message.error("name", "ROW expected");
     }
-    let exchange = ExchangeId(message.parse("exchange")?);
+    let switch = SwitchId(message.parse("exchange")?);
     let zone_name = message.text("rackZone")?.to_string();
     message.text("classOfHost")?;
-    let number = message.parse("pointCode")?;
+    let exchange_number = message.parse("pointCode")?;
     let health = match message.text("health")? {
         "in_service" => Health::InService,
         "terminating" => Health::Draining,
@@ -248,7 +249,7 @@
     message.parse_optional::<f64>("capacityHint")?;
     let started_s: Option<f64> = message.parse_optional("cameUpS")?;
     let up_since = started_s.filter(|seconds| *seconds > 0.0).map(seconds_to_micros);
-    Ok(ListRow { listed: Listed { exchange, zone: 0, number, health, up_since }, zone_name })
+    Ok(ListRow { listed: SwitchEntry { switch, zone: 0, exchange_number, health, up_since }, zone_name })
 }
 
 /// Index of the field's name in a list from the settings; `-`, `0` and an empty field are `None`.
@@ -270,7 +271,7 @@
             let how = message.text("how")?;
             message.text("serial")?;
             if how == "X" {
-                return Ok(Event::List(List::Failed));
+                return Ok(Event::SwitchList(SwitchListUpdate::Failed));
             }
             let list_ref: u64 = message.parse("ref")?;
             let Some(rows) = exchange_lists.get(&list_ref) else {
@@ -281,11 +282,11 @@
                 // All zones that the settings do not name share the index after the last named one.
                 let position = names.zones.iter().position(|zone| *zone == row.zone_name);
                 let zone = position.unwrap_or(names.zones.len()) as u32;
-                entries.push(Listed { zone, ..row.listed.clone() });
+                entries.push(SwitchEntry { zone, ..row.listed.clone() });
             }
             match how {
-                "F" | "C" => Event::List(List::Full(entries)),
-                "D" => Event::List(List::Change(entries)),
+                "F" | "C" => Event::SwitchList(SwitchListUpdate::Full(entries)),
+                "D" => Event::SwitchList(SwitchListUpdate::Changes(entries)),
                 _ => return message.error("how", "unknown value"),
             }
         }
@@ -295,25 +296,25 @@
                 return message.error("tierClass", "missing");
             };
             let tenant = parse_name(message, "tenant", &names.tenants)?;
-            let called = message.text("object")?.to_string();
-            let give_up_at = message.seconds("giveUpAtS")?;
+            let called_number = message.text("object")?.to_string();
+            let deadline = message.seconds("giveUpAtS")?;
             message.parse_optional::<f64>("sizeHintS")?;
             let destination = message.parse::<f64>("farEnd")? as i64;
-            let width: f64 = message.parse("units")?;
-            let via = message.parse::<f64>("tandem")? as i64;
+            let circuits: f64 = message.parse("units")?;
+            let via_exchange = message.parse::<f64>("tandem")? as i64;
             let redial = message.boolean("againByClient")?;
             message.boolean("update")?;
             let transit = message.boolean("tandemCall")?;
             message.boolean("cameBack")?;
-            Event::Call(NewCall {
+            Event::NewCall(NewCall {
                 id,
                 class,
                 tenant,
-                called,
-                give_up_at,
+                called_number,
+                deadline,
                 destination,
-                width,
-                via,
+                circuits,
+                via_exchange,
                 redial,
                 transit,
             })
@@ -322,35 +323,35 @@
             let call = CallId(message.parse("rid")?);
             let attempt = message.parse("sendNo")?;
             message.parse::<u64>("exchange")?;
-            Event::Standing { call, attempt, took: message.seconds("waitTimeS")? }
+            Event::Established { call, attempt, set_up_time: message.seconds("waitTimeS")? }
         }
         "COMPLETED" => {
             let call = CallId(message.parse("rid")?);
             let attempt = message.parse("sendNo")?;
-            let exchange = ExchangeId(message.parse("exchange")?);
+            let switch = SwitchId(message.parse("exchange")?);
             let outcome = parse_outcome(message, "outcome")?;
             message.seconds("waitTimeS")?;
-            let closed = message.boolean("closed")?;
+            let call_closed = message.boolean("closed")?;
             let clear_code = message.parse_optional::<f64>("clearCode")?.map_or(0, |code| code as i64);
-            let cause = match clear_code {
-                1 => Cause::NoCircuit,
-                2 => Cause::TurnedBack,
-                18 => Cause::FullBeyond,
-                4 => Cause::NumberBusy,
+            let reason = match clear_code {
+                1 => EndReason::NoCircuit,
+                2 => EndReason::RejectedByTandem,
+                18 => EndReason::CongestedBeyondTandem,
+                4 => EndReason::SubscriberBusy,
                 // 3 plus 16 times the wait in milliseconds.
-                code if code > 0 && code & 15 == 3 => Cause::ProcessorFull((code >> 4) * 1000),
-                _ => Cause::None,
+                code if code > 0 && code & 15 == 3 => EndReason::ProcessorCongested((code >> 4) * 1000),
+                _ => EndReason::Unknown,
             };
             let report = message.load_report("stats")?;
-            Event::Ended(End { call, attempt, exchange, outcome, cause, closed, report })
+            Event::AttemptEnded(AttemptEnd { call, attempt, switch, outcome, reason, call_closed, report })
         }
         "CANCELLED_BY_CLIENT" => Event::CallerGone(CallId(message.parse("rid")?)),
         "DEADLINE_HIT" => Event::Timer(message.parse("ref")?),
         "ECHO" => {
-            let exchange = ExchangeId(message.parse("exchange")?);
-            let answered = parse_outcome(message, "outcome")? == Outcome::Ended;
-            let took = message.seconds("waitTimeS")?;
-            Event::Probed { exchange, answered, took, report: message.load_report("stats")? }
+            let switch = SwitchId(message.parse("exchange")?);
+            let answered = parse_outcome(message, "outcome")? == Outcome::Completed;
+            let round_trip = message.seconds("waitTimeS")?;
+            Event::SwitchStatus { switch, answered, round_trip, report: message.load_report("stats")? }
         }
         "HEARD" => {
             let from = message.parse("from")?;
@@ -358,7 +359,7 @@
                 Some(data) => data,
                 None => return message.error("contents", "must be an even number of hexadecimal digits"),
             };
-            Event::Peer { from, data }
+            Event::PeerMessage { from, data }
         }
         _ => return message.error("name", "unknown message"),
     })
@@ -366,9 +367,9 @@
 
 fn parse_outcome(message: &mut Message, field: &str) -> AdapterResult<Outcome> {
     Ok(match message.parse::<i64>(field)? {
-        0 => Outcome::Ended,
-        5 => Outcome::Error,
-        11 => Outcome::Full,
+        0 => Outcome::Completed,
+        5 => Outcome::Failed,
+        11 => Outcome::Congested,
         110 => Outcome::TimedOut,
         111 => Outcome::Unreachable,
         104 => Outcome::Reset,
@@ -394,19 +395,19 @@
     for action in actions {
         // Writing to a String cannot fail.
         let _ = match action {
-            Action::Send { call, exchange, timeout } => {
-                writeln!(reply, "HAND_OFF\t{instance_id}\t{}\t{}\t{}", call.0, exchange.0, seconds(*timeout))
+            Action::SendSetUp { call, switch, timeout } => {
+                writeln!(reply, "HAND_OFF\t{instance_id}\t{}\t{}\t{}", call.0, switch.0, seconds(*timeout))
             }
-            Action::Refuse { call, back_off } => {
+            Action::Reject { call, back_off } => {
                 writeln!(reply, "REJECT\t{instance_id}\t{}\t{}", call.0, seconds(*back_off))
             }
             Action::Fail(call) => writeln!(reply, "GIVE_UP\t{instance_id}\t{}", call.0),
             Action::Cancel { call, attempt } => {
                 writeln!(reply, "CALL_OFF\t{instance_id}\t{}\t{attempt}", call.0)
             }
-            Action::Probe(exchange) => writeln!(reply, "POLL\t{instance_id}\t{}", exchange.0),
+            Action::Probe(switch) => writeln!(reply, "POLL\t{instance_id}\t{}", switch.0),
             Action::Subscribe => writeln!(reply, "STREAM_CHANGES\t{instance_id}\t1"),
-            Action::Timer { after, token } => {
+            Action::SetTimer { after, token } => {
                 writeln!(reply, "WAKE_AT\t{instance_id}\t{}\t{token}", seconds(*after))
             }
             Action::Log(line) => writeln!(reply, "TRACE\t{instance_id}\t{line}"),
