--- a/src/control.rs
+++ b/src/control.rs
@@ -1,8 +1,14 @@
-//! Every decision of wheatpier. The interface (settings, events, actions) is `src/interface.rs`.
+//! All decisions of wheatpier. Settings, events and actions are defined in `src/interface.rs`.
 //!
-//! Ordinary path, per far processor: a PI-controlled share of fresh calls is refused before sending; admitted
-//! calls pass a short PI-drained hold while that share is above nought; direct first, else one random tandem
-//! with room beyond a reserve. See docs/design.md for the source and for the exceptions.
+//! A call leaves by the processor of the own exchange (the own processor) and is set up at a carrier switch,
+//! whose processor is the far processor. The pressure on a processor is 1 - d0/d: d is its present set-up
+//! delay and d0 its base delay, the delay without load.
+//!
+//! The usual path of a call: for each far processor, a PI loop on the pressure sets the share of new calls
+//! that are rejected before a set-up is sent (the reject ratio). While that share is above 0, admitted calls
+//! wait in a short queue (the hold), which a second PI loop drains. A call takes the direct group of circuits
+//! if it has room, else one tandem, chosen at random among those whose group has room beyond the trunk
+//! reservation. See docs/design.md for the source of the method and for the exceptions.
 
 use crate::interface::{
     Action, AttemptEnd, CallId, DeduplicationScope, EndReason, Event, ExchangeNumber, Health, LoadReport,
@@ -18,931 +24,1273 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-// The mechanism (paper's values where it names one).
-/// Control period of both loops.
-const PERIOD: Micros = 20 * MS;
-/// CT, target pressure (paper: 0.8 or 0.9): a set-up may take 3.3 quiet ones before refusals begin.
-const TARGET: f64 = 0.7;
-/// Kpc = Kic of the reject ratio.
-const K_RATIO: f64 = 5.0;
-/// Most that the reject ratio may refuse.
-const RATIO_CAP: f64 = 0.9;
-/// Most that the ratio falls in a second: silence is no proof of room, opening at once floods again.
-const RATIO_FALL: f64 = 0.4;
-/// τc of the pressure filter, s.
-const TAU_PRESSURE: f64 = 0.1;
-/// Without fresh samples pressure decays to nought over this.
-const DECAY: Micros = 2 * SECOND;
-/// Samples in a median.
-const SAMPLES: usize = 10;
-/// d0 is the quietest median within this.
-const QUIET_SPAN: Micros = 60 * SECOND;
-/// Kpq, Kiq of the hold's drain.
-const K_DRAIN: (f64, f64) = (20.0, 130.0);
-/// T̄q, s.
-const HOLD_TARGET: f64 = 0.05;
-/// τ of the offered rate, s.
-const TAU_OFFERED: f64 = 0.4;
-
-// What the design leaves open.
-/// An endless delay, as a sample.
-const ENDLESS: Micros = Micros::MAX / 4;
-/// Samples older than this no longer speak for the present.
-const SAMPLE_AGE: (Micros, Micros) = (3 * SECOND, 12 * SECOND);
-/// Fewest samples that say anything, where traffic is too thin for ten within that age.
-const FEWEST: usize = 3;
-/// Quantile of all delays from here that stands for the own processor: below it, no single far end shows.
-const HOME_QUANTILE: f64 = 0.25;
-/// A set-up out for this many times d0 is overdue.
-const OVERDUE: Micros = 2;
-/// Groups between others: for how long one last seen with room, or full, counts as such. What was full each
-/// time counts for twice as long, to the longest: there may be no group at all.
-const BEYOND: (Micros, Micros) = (8 * SECOND, 64 * SECOND);
-/// Trunk reservation: circuits always kept, and the share of the group kept at full direct blocking.
-const RESERVE: (f64, f64) = (1.0, 0.5);
-/// Memory of direct blocking, of traffic rates and of the worth on offer, s.
-const TAU_TRAFFIC: f64 = 8.0;
-/// A tandem call passes three processors, a direct one two.
-const TANDEM_STRETCH: f64 = 1.5;
-/// Unanswered attempts in a row that make a processor doubted.
-const DOUBT_AFTER: u32 = 2;
-/// First and longest gap between single trials of a doubted processor, in shortest aims. Danger: where calls
-/// are wanted within half a second, seconds between trials refuse all that a short silence leaves.
-const TRIAL_GAP: (f64, f64) = (4.0 / 15.0, 4.0 / 3.0);
-/// Share of the aim that an attempt over a tandem, or where answers are quick, may use; another can follow.
-const HALF: f64 = 0.5;
-/// Most by which a surge raises a part of a cold budget; what the processor bore of its own is the margin.
-const COLD_SURGE: f64 = 1.8;
-/// Back-off with a refusal, as a share of the aim, so that a redial can still meet the first try's aim.
-const BACK_OFF: f64 = 0.25;
-/// Without a turn for so long, though a tick was due, the agent itself stood still.
-const STALL: Micros = 10 * PERIOD;
-/// For how long after its first try a number refused is taken for a redial when it comes again.
-const REDIAL: Micros = 10 * SECOND;
-/// First and longest time for which a number whose lines are all busy is left alone.
-const BUSY_NUMBER: (Micros, Micros) = (SECOND, 8 * SECOND);
+// Parameters of the overload control. Symbols and values in parentheses are those of the paper that
+// docs/design.md names.
+
+/// Control period of both PI loops.
+const CONTROL_PERIOD: Micros = 20 * MS;
+/// Target of the pressure (CT, 0.8 or 0.9): at 0.7 a set-up may take 3.3 times the base delay before calls
+/// are rejected.
+const TARGET_PRESSURE: f64 = 0.7;
+/// Proportional and integral gain of the reject ratio (Kpc = Kic).
+const REJECT_RATIO_GAIN: f64 = 5.0;
+/// Upper limit of the reject ratio.
+const MAX_REJECT_RATIO: f64 = 0.9;
+/// Most that the reject ratio falls in a second. A lack of samples does not prove that the processor has
+/// room, and admitting all calls at once would overload it again.
+const MAX_REJECT_RATIO_FALL_PER_S: f64 = 0.4;
+/// Time constant of the pressure filter (τc).
+const PRESSURE_TIME_CONSTANT_S: f64 = 0.1;
+/// Time over which the pressure decays to 0 when no new samples come.
+const PRESSURE_DECAY_TIME: Micros = 2 * SECOND;
+/// Number of the latest set-ups whose median delay is used.
+const MEDIAN_SAMPLES: usize = 10;
+/// The base delay (d0) is the lowest median delay within this time.
+const BASE_DELAY_WINDOW: Micros = 60 * SECOND;
+/// Proportional gain of the hold's drain rate (Kpq).
+const DRAIN_PROPORTIONAL_GAIN: f64 = 20.0;
+/// Integral gain of the hold's drain rate (Kiq).
+const DRAIN_INTEGRAL_GAIN: f64 = 130.0;
+/// Target of the waiting time in the hold (T̄q).
+const HOLD_TARGET_WAIT_S: f64 = 0.05;
+/// Time constant of the rate of calls offered to the hold (τ).
+const HOLD_RATE_TIME_CONSTANT_S: f64 = 0.4;
+
+// Parameters that the paper leaves open.
+
+/// Delay sample of a set-up that was not answered, or was released because of congestion.
+const INFINITE_DELAY: Micros = Micros::MAX / 4;
+/// Shortest time for which a delay sample is used; with little traffic the time is longer.
+const MIN_SAMPLE_LIFETIME: Micros = 3 * SECOND;
+/// Longest time for which a delay sample is used.
+const MAX_SAMPLE_LIFETIME: Micros = 12 * SECOND;
+/// Samples that are needed to know a delay, where there is too little traffic for `MEDIAN_SAMPLES`. Where
+/// fewer calls than this come within the sample lifetime, that number is enough, but at least one.
+const REQUIRED_SAMPLES: usize = 3;
+/// Quantile of the set-up delays that is used for far processors.
+const MEDIAN: f64 = 0.5;
+/// Quantile of the set-up delays to all far processors that is taken for the delay of the own processor. It
+/// is low enough that a single slow far processor does not raise it.
+const OWN_PROCESSOR_QUANTILE: f64 = 0.25;
+/// A set-up without an answer is overdue after this multiple of the base delay.
+const OVERDUE_FACTOR: Micros = 2;
+/// Most overdue set-ups to one far processor that count as overdue at the own processor, so that no single
+/// far processor decides.
+const MAX_OVERDUE_PER_SWITCH: usize = 2;
+/// How long the module relies on what it last saw of a group of circuits between two other exchanges: that it
+/// had room, or was full.
+const MIN_REMOTE_GROUP_VALIDITY: Micros = 8 * SECOND;
+/// A group found full again is taken for full for twice as long, up to this time: it may not exist at all.
+const MAX_REMOTE_GROUP_VALIDITY: Micros = 64 * SECOND;
+/// Trunk reservation: circuits of a group that are always kept free for direct calls.
+const MIN_RESERVED_CIRCUITS: f64 = 1.0;
+/// Trunk reservation: additional share of the group that is kept free when all direct calls are blocked.
+const MAX_RESERVED_SHARE: f64 = 0.5;
+/// Time constant of the blocking of direct calls, of traffic rates and of the value of the calls offered.
+const TRAFFIC_TIME_CONSTANT_S: f64 = 8.0;
+/// Time constant of the traffic offered to a processor while it is warm.
+const WARM_TRAFFIC_TIME_CONSTANT_S: f64 = 4.0 * TRAFFIC_TIME_CONSTANT_S;
+/// Set-up time over a tandem, as a multiple of the direct one: three processors handle the call instead of
+/// two.
+const TANDEM_SET_UP_FACTOR: f64 = 1.5;
+/// Unanswered attempts in a row after which a processor is suspected to be down.
+const UNANSWERED_UNTIL_SUSPECTED: u32 = 2;
+/// First interval between trial calls to a suspected processor, as a share of the shortest set-up target.
+/// With a target of half a second, intervals of seconds would reject nearly all calls after a short silence.
+const FIRST_TRIAL_INTERVAL_SHARE: f64 = 4.0 / 15.0;
+/// Longest interval between trial calls, as a share of the shortest set-up target.
+const MAX_TRIAL_INTERVAL_SHARE: f64 = 4.0 / 3.0;
+/// Share of the set-up target that an attempt may take over a tandem or where answers are quick, so that
+/// another attempt can follow within the target.
+const ATTEMPT_TARGET_SHARE: f64 = 0.5;
+/// A processor answers quickly if this multiple of its delay is less than the time available.
+const QUICK_ANSWER_FACTOR: Micros = 4;
+/// Most by which a surge of traffic raises the calls allowed to a cold processor, as a multiple of its warm
+/// traffic. The calls that the processor originates itself are not part of that traffic and leave the margin.
+const MAX_COLD_SURGE: f64 = 1.8;
+/// Back-off sent with a rejection, as a share of the set-up target, so that a redial can still meet the
+/// target of the first try.
+const BACK_OFF_TARGET_SHARE: f64 = 0.25;
+/// If no event was handled for this long although a tick was due, this process itself was stalled.
+const STALL_TIME: Micros = 10 * CONTROL_PERIOD;
+/// A call to the same number within this time of the first try of a call that was not established is taken
+/// for its redial. Callers that do not mark their redials would otherwise get the full value of a first try.
+const REDIAL_WINDOW: Micros = 10 * SECOND;
+/// How long no calls are sent to a number whose lines were all busy.
+const MIN_BUSY_NUMBER_WAIT: Micros = SECOND;
+/// The time doubles each time that the number is found busy again, up to this.
+const MAX_BUSY_NUMBER_WAIT: Micros = 8 * SECOND;
+/// A call gets its final answer this many batch intervals before its caller gives up, so that it comes in
+/// time.
+const DEADLINE_MARGIN_BATCHES: Micros = 2;
 
+// Timer tokens: the kind in the lowest two bits, the call's id above them.
+const TIMER_KIND_BITS: u32 = 2;
+const TIMER_KIND_MASK: u64 = 3;
 const TIMER_TICK: u64 = 0;
-const TIMER_RELIST: u64 = 1;
-const TIMER_GIVE_UP: u64 = 2;
+const TIMER_RESUBSCRIBE: u64 = 1;
+const TIMER_DEADLINE: u64 = 2;
 const TIMER_RETRY: u64 = 3;
 
-/// The group between two exchanges, whichever end is named first.
-fn pair(a: ExchangeNumber, b: ExchangeNumber) -> (ExchangeNumber, ExchangeNumber) {
-    (a.min(b), a.max(b))
+fn timer_token(kind: u64, call: CallId) -> u64 {
+    call.0 << TIMER_KIND_BITS | kind
 }
 
-fn timer(kind: u64, call: CallId) -> u64 {
-    call.0 << 2 | kind
+/// Key of the group of circuits between two exchanges, the same for either order of its ends.
+fn group_key(a: ExchangeNumber, b: ExchangeNumber) -> (ExchangeNumber, ExchangeNumber) {
+    (a.min(b), a.max(b))
 }
 
-/// Weight left after `dt` of an average with time constant `tau` seconds.
-fn fade(dt: Micros, tau: f64) -> f64 {
-    (-(dt.max(0) as f64) / 1e6 / tau).exp()
+/// Weight that remains of an exponential average after `elapsed`.
+fn decay_factor(elapsed: Micros, time_constant_s: f64) -> f64 {
+    (-(elapsed.max(0) as f64) / 1e6 / time_constant_s).exp()
 }
 
-/// A rate of events per second, averaged exponentially.
+/// A rate per second, averaged exponentially. Each rate is always read and updated with the same time
+/// constant.
 #[derive(Default)]
-struct Rate {
-    value: f64,
-    at: Micros,
+struct AverageRate {
+    value_per_s: f64,
+    updated_at: Micros,
 }
 
-impl Rate {
-    fn read(&self, now: Micros, tau: f64) -> f64 {
-        self.value * fade(now - self.at, tau)
+impl AverageRate {
+    fn read(&self, now: Micros, time_constant_s: f64) -> f64 {
+        self.value_per_s * decay_factor(now - self.updated_at, time_constant_s)
     }
-    fn add(&mut self, now: Micros, tau: f64, n: f64) {
-        (self.value, self.at) = (self.read(now, tau) + n / tau, now);
+
+    fn add(&mut self, now: Micros, time_constant_s: f64, amount: f64) {
+        self.value_per_s = self.read(now, time_constant_s) + amount / time_constant_s;
+        self.updated_at = now;
     }
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum State {
-    Idle,
+enum CallState {
+    /// No attempt is in progress; the call is about to be routed or ended.
+    Unrouted,
+    /// Admitted, and waiting in the hold of a processor.
     Held,
-    Out { exchange: SwitchId, sent: Micros, tandem: bool },
-    Releasing,
-    Standing,
+    /// An attempt is in progress.
+    Attempting { switch: SwitchId, sent_at: Micros, tandem: bool },
+    /// Waits for `Call::release_until` before the next attempt.
+    AwaitingRelease,
+    /// The call is established.
+    Established,
+}
+
+/// An attempt that was sent.
+struct SentAttempt {
+    sent_at: Micros,
+    switch: SwitchId,
 }
 
 struct Call {
-    new: NewCall,
-    /// When the caller's first try came, as far as is known.
-    arrived: Micros,
-    state: State,
+    request: NewCall,
+    /// When the caller first tried, as far as is known.
+    first_tried_at: Micros,
+    state: CallState,
     attempts: u32,
-    tried: Vec<ExchangeNumber>,
-    /// Not to be sent again before this (release wait).
-    not_before: Micros,
-    /// First attempt that may have run: when and where.
-    may_have_run: Option<(Micros, SwitchId)>,
+    /// Exchanges that attempts were sent to, directly or as tandem.
+    tried_exchanges: Vec<ExchangeNumber>,
+    /// No new attempt is sent before this time: the switch may still have to release the last one.
+    release_until: Micros,
+    /// The first attempt that the far processor may have executed.
+    maybe_executed: Option<SentAttempt>,
 }
 
-/// What is known of a number of the plan, whichever processor serves it.
+/// State of an exchange, whichever processor serves it.
 #[derive(Default)]
-struct Place {
-    /// The processor in service there; the newest where there are several.
-    server: Option<SwitchId>,
-    blocked: Rate,
-    offered: Rate,
-    /// Offered traffic over a longer time, while its processor was warm, and the weight of that time.
-    usual: (Rate, Rate),
-    /// What was left of our part of a cold processor's budget, and when.
-    budget: (f64, Micros),
+struct Exchange {
+    /// The switch in service there; the newest where there are several.
+    switch_in_service: Option<SwitchId>,
+    /// Direct calls that found no free circuit.
+    blocked_calls: AverageRate,
+    /// First tries of calls to this exchange.
+    offered_calls: AverageRate,
+    /// First tries while the processor was warm, averaged over a longer time.
+    warm_calls: AverageRate,
+    /// Seconds of warm time, averaged likewise: `warm_calls / warm_seconds` is the rate of calls when warm.
+    warm_seconds: AverageRate,
+    /// Calls that this gatekeeper may send to a cold processor, as of `cold_budget_at`.
+    cold_budget_calls: f64,
+    cold_budget_at: Micros,
+}
+
+/// A set-up delay, or a median of them.
+struct DelaySample {
+    measured_at: Micros,
+    delay: Micros,
 }
 
-/// Pressure on one processor and the two PI loops that answer it.
+/// Overload control of one processor: its pressure and the two PI loops that respond to it.
 #[derive(Default)]
-struct Loops {
-    /// Set-up delays: when answered, how long.
-    samples: VecDeque<(Micros, Micros)>,
-    /// The last set-up failed there.
-    failed: bool,
-    /// When a probe last found it alive: set-ups of before that it left unanswered were lost on their way.
-    renewed: Micros,
-    /// Candidates for d0, rising.
-    medians: VecDeque<(Micros, Micros)>,
-    /// For how long a sample speaks, and how many are enough: by the traffic there is.
-    window: Micros,
-    enough: usize,
-    /// Pressure from the last load report, and when it came.
-    report: (f64, Micros),
-    /// Delay at the quantile in use, where enough is known.
+struct OverloadControl {
+    /// The latest set-up delays.
+    samples: VecDeque<DelaySample>,
+    /// A set-up has failed there since the last one that was answered.
+    last_set_up_failed: bool,
+    /// When a probe was last answered. Set-ups sent before then that stay unanswered were lost on the way.
+    probe_answered_at: Micros,
+    /// Median delays of the last `BASE_DELAY_WINDOW` that are lower than all later ones, in rising order. The
+    /// first is the base delay.
+    median_delays: VecDeque<DelaySample>,
+    /// For how long a sample is used; depends on the traffic.
+    sample_lifetime: Micros,
+    /// How many samples are needed to know the delay; depends on the traffic.
+    required_samples: usize,
+    /// Pressure from the last load report.
+    reported_pressure: f64,
+    /// When the last load report with a pressure came; 0 if none has.
+    reported_at: Micros,
+    /// Present delay at the quantile in use, where there are enough samples.
     delay: Option<Micros>,
-    fresh: Micros,
+    /// When the last sample came or a set-up was last overdue.
+    last_evidence_at: Micros,
     pressure: f64,
-    integral: f64,
-    ratio: f64,
-    held: VecDeque<CallId>,
-    hold_integral: f64,
-    credit: f64,
-    offered: Rate,
+    ratio_integral: f64,
+    reject_ratio: f64,
+    /// Admitted calls that wait to be sent, in order of arrival.
+    hold: VecDeque<CallId>,
+    drain_integral: f64,
+    /// Number of calls that may leave the hold now, with a fraction.
+    drain_credit: f64,
+    /// Calls that were not rejected.
+    admitted_calls: AverageRate,
 }
 
-impl Loops {
-    /// d0: the quietest median of the last minute.
-    fn quiet(&self) -> Option<Micros> {
-        self.medians.front().map(|m| m.1)
+impl OverloadControl {
+    /// The base delay d0: the lowest median of the last minute.
+    fn base_delay(&self) -> Option<Micros> {
+        self.median_delays.front().map(|median| median.delay)
+    }
+
+    /// The base delay, at most `max_base_delay`, which also stands in for a base delay that is not known.
+    fn bounded_base_delay(&self, max_base_delay: Micros) -> Micros {
+        self.base_delay().unwrap_or(max_base_delay).min(max_base_delay)
     }
 
-    /// Beyond the quietest delay: what waiting at this processor adds.
-    fn excess(&self) -> Micros {
-        self.delay.zip(self.quiet()).map_or(0, |(d, d0)| (d - d0).max(0))
+    /// The delay beyond the base delay, which is the wait that this processor adds.
+    fn queueing_delay(&self) -> Micros {
+        self.delay.zip(self.base_delay()).map_or(0, |(delay, base_delay)| (delay - base_delay).max(0))
     }
 
-    fn sample(&mut self, now: Micros, delay: Micros) {
-        self.samples.push_back((now, delay));
-        if self.samples.len() > SAMPLES {
+    fn add_sample(&mut self, now: Micros, delay: Micros) {
+        self.samples.push_back(DelaySample { measured_at: now, delay });
+        if self.samples.len() > MEDIAN_SAMPLES {
             self.samples.pop_front();
         }
-        self.fresh = now;
+        self.last_evidence_at = now;
     }
 
-    /// Raw pressure 1 - d0/d: d from the last ten set-ups, those still out for too long (`overdue`)
-    /// among them. `most` bounds d0 where the quietest delay was never seen.
-    fn measure(&mut self, now: Micros, overdue: &[Micros], quantile: f64, most: Micros) -> f64 {
-        while self.samples.front().is_some_and(|s| s.0 + self.window < now) {
+    /// The unfiltered pressure 1 - d0/d. The delay d is taken from the last ten set-ups, which include those
+    /// that are still unanswered and `overdue`.
+    fn measure_pressure(
+        &mut self, now: Micros, overdue: &[Micros], quantile: f64, max_base_delay: Micros,
+    ) -> f64 {
+        while self.samples.front().is_some_and(|sample| sample.measured_at + self.sample_lifetime < now) {
             self.samples.pop_front();
         }
-        let answered = SAMPLES.saturating_sub(overdue.len()).min(self.samples.len());
-        let mut recent: Vec<Micros> = self.samples.iter().rev().take(answered).map(|s| s.1).collect();
-        recent.extend(overdue.iter().take(SAMPLES));
-        recent.sort_unstable();
-        self.delay = (recent.len() >= self.enough).then(|| recent[(recent.len() as f64 * quantile) as usize]);
-        self.fresh = if overdue.is_empty() { self.fresh } else { now };
+        let answered = MEDIAN_SAMPLES.saturating_sub(overdue.len()).min(self.samples.len());
+        let latest = self.samples.iter().rev().take(answered);
+        let mut delays: Vec<Micros> = latest.map(|sample| sample.delay).collect();
+        delays.extend(overdue.iter().take(MEDIAN_SAMPLES));
+        delays.sort_unstable();
+        let enough = delays.len() >= self.required_samples;
+        self.delay = enough.then(|| delays[(delays.len() as f64 * quantile) as usize]);
+        if !overdue.is_empty() {
+            self.last_evidence_at = now;
+        }
         let Some(delay) = self.delay else { return 0.0 };
-        if overdue.is_empty() && recent.len() > SAMPLES / 2 {
-            while self.medians.back().is_some_and(|m| m.1 >= delay) {
-                self.medians.pop_back();
+        if overdue.is_empty() && delays.len() > MEDIAN_SAMPLES / 2 {
+            while self.median_delays.back().is_some_and(|median| median.delay >= delay) {
+                self.median_delays.pop_back();
             }
-            self.medians.push_back((now, delay));
+            self.median_delays.push_back(DelaySample { measured_at: now, delay });
         }
-        while self.medians.front().is_some_and(|m| m.0 + QUIET_SPAN < now) {
-            self.medians.pop_front();
+        while self.median_delays.front().is_some_and(|median| median.measured_at + BASE_DELAY_WINDOW < now) {
+            self.median_delays.pop_front();
         }
-        // Danger: an agent that starts while its processor is silent never sees a quiet delay.
-        let d0 = self.quiet().unwrap_or(most).min(most);
-        (1.0 - d0 as f64 / delay.max(1) as f64).max(0.0)
+        // The bound matters after a start during an outage: the processor has never answered quickly, and
+        // without the bound the pressure would stay 0.
+        let base_delay = self.bounded_base_delay(max_base_delay);
+        (1.0 - base_delay as f64 / delay.max(1) as f64).max(0.0)
     }
 
-    /// Fits the window to traffic of so many calls a second.
-    fn fit(&mut self, rate: f64) {
-        self.window = ((FEWEST as f64 / rate.max(1e-3) * 1e6) as Micros).clamp(SAMPLE_AGE.0, SAMPLE_AGE.1);
-        self.enough = ((rate * self.window as f64 / 1e6).round() as usize).clamp(1, FEWEST);
+    /// Adapts the lifetime of samples and the number required to the traffic.
+    fn adapt_to_traffic(&mut self, calls_per_s: f64) {
+        let lifetime = (REQUIRED_SAMPLES as f64 / calls_per_s.max(1e-3) * 1e6) as Micros;
+        self.sample_lifetime = lifetime.clamp(MIN_SAMPLE_LIFETIME, MAX_SAMPLE_LIFETIME);
+        let expected_samples = (calls_per_s * self.sample_lifetime as f64 / 1e6).round() as usize;
+        self.required_samples = expected_samples.clamp(1, REQUIRED_SAMPLES);
     }
 
-    /// One period of both PI loops.
-    fn step(&mut self, now: Micros, raw: f64) {
-        let dt = PERIOD as f64 / 1e6;
-        let decay = DECAY.max(self.window * 2 / 3);
-        let left = |at: Micros| (1.0 - (now - at) as f64 / decay as f64).clamp(0.0, 1.0);
-        let told = self.report.1 + decay / 2 > now && self.report.1 > 0;
-        let raw = if told { self.report.0 * left(self.report.1) } else { raw * left(self.fresh) };
-        self.pressure += (raw - self.pressure) * (1.0 - fade(PERIOD, TAU_PRESSURE));
-        let error = self.pressure - TARGET;
-        // Anti-windup at both ends: the integral alone never leaves the range that the ratio can use.
-        self.integral = (self.integral + K_RATIO * error * dt).clamp(0.0, RATIO_CAP);
-        let ratio = (K_RATIO * error + self.integral).clamp(0.0, RATIO_CAP);
-        self.ratio = ratio.max(self.ratio - RATIO_FALL * dt);
-        let queued = self.held.len() as f64;
-        let error = queued - HOLD_TARGET * self.offered.read(now, TAU_OFFERED);
-        self.hold_integral = (self.hold_integral + K_DRAIN.1 * error * dt).clamp(0.0, 1.0 / dt);
-        let drain = (K_DRAIN.0 * error + self.hold_integral).clamp(0.0, 1.0 / dt);
-        self.credit = if queued > 0.0 { self.credit + drain * dt } else { 0.0 };
+    /// One control period of both PI loops.
+    fn run_control_period(&mut self, now: Micros, measured_pressure: f64) {
+        let period_s = CONTROL_PERIOD as f64 / 1e6;
+        let decay_time = PRESSURE_DECAY_TIME.max(self.sample_lifetime * 2 / 3);
+        let weight_of = |time: Micros| (1.0 - (now - time) as f64 / decay_time as f64).clamp(0.0, 1.0);
+        // A recent load report takes the place of the measured pressure.
+        let report_is_recent = self.reported_at + decay_time / 2 > now && self.reported_at > 0;
+        let unfiltered = if report_is_recent {
+            self.reported_pressure * weight_of(self.reported_at)
+        } else {
+            measured_pressure * weight_of(self.last_evidence_at)
+        };
+        self.pressure +=
+            (unfiltered - self.pressure) * (1.0 - decay_factor(CONTROL_PERIOD, PRESSURE_TIME_CONSTANT_S));
+
+        let error = self.pressure - TARGET_PRESSURE;
+        // Anti-windup at both ends: the integral by itself stays within the range of the reject ratio.
+        self.ratio_integral =
+            (self.ratio_integral + REJECT_RATIO_GAIN * error * period_s).clamp(0.0, MAX_REJECT_RATIO);
+        let ratio = (REJECT_RATIO_GAIN * error + self.ratio_integral).clamp(0.0, MAX_REJECT_RATIO);
+        self.reject_ratio = ratio.max(self.reject_ratio - MAX_REJECT_RATIO_FALL_PER_S * period_s);
+
+        let held_calls = self.hold.len() as f64;
+        let admitted_per_s = self.admitted_calls.read(now, HOLD_RATE_TIME_CONSTANT_S);
+        let error = held_calls - HOLD_TARGET_WAIT_S * admitted_per_s;
+        // At most one call leaves the hold in a control period.
+        let max_drain_per_s = 1.0 / period_s;
+        self.drain_integral =
+            (self.drain_integral + DRAIN_INTEGRAL_GAIN * error * period_s).clamp(0.0, max_drain_per_s);
+        let drain_per_s = (DRAIN_PROPORTIONAL_GAIN * error + self.drain_integral).clamp(0.0, max_drain_per_s);
+        self.drain_credit = if held_calls > 0.0 { self.drain_credit + drain_per_s * period_s } else { 0.0 };
     }
 
-    /// The held calls whose turn it is.
-    fn drained(&mut self, due: &mut Vec<CallId>) {
-        while !self.held.is_empty() && (self.ratio <= 0.0 || self.credit >= 1.0) {
-            self.credit = (self.credit - 1.0).max(0.0);
-            due.extend(self.held.pop_front());
+    /// Moves the calls that may leave the hold to `drained`; all of them while no calls are rejected.
+    fn drain_hold(&mut self, drained: &mut Vec<CallId>) {
+        while !self.hold.is_empty() && (self.reject_ratio <= 0.0 || self.drain_credit >= 1.0) {
+            self.drain_credit = (self.drain_credit - 1.0).max(0.0);
+            drained.extend(self.hold.pop_front());
         }
     }
 }
 
-/// What is known of one processor.
-struct Far {
-    listed: SwitchEntry,
-    /// When we were told that it drains or is gone.
-    ending: Option<Micros>,
-    free: Option<f64>,
-    size: f64,
-    loops: Loops,
-    /// Attempts out, oldest first.
-    out: Vec<(Micros, CallId)>,
-    unanswered: u32,
-    silent_at: Micros,
-    doubted: bool,
-    trial_gap: f64,
-    next_trial: Micros,
+/// An attempt that has not been answered.
+struct PendingAttempt {
+    sent_at: Micros,
+    call: CallId,
+}
+
+/// State of a switch and of the group of circuits towards it.
+struct Switch {
+    entry: SwitchEntry,
+    /// When the module learned that the switch drains or is gone.
+    leaving_since: Option<Micros>,
+    /// Free circuits of the group, where they were reported.
+    free_circuits: Option<f64>,
+    /// Size of the group.
+    group_size: f64,
+    overload: OverloadControl,
+    /// Attempts in progress, the oldest first.
+    pending: Vec<PendingAttempt>,
+    /// Unanswered attempts since the last answer.
+    unanswered_in_a_row: u32,
+    /// When an attempt last ended without an answer.
+    last_unanswered_at: Micros,
+    /// The processor is suspected to be down: only single trial calls are sent to it.
+    suspected: bool,
+    /// Interval between trial calls, as a share of the shortest set-up target.
+    trial_interval_share: f64,
+    next_trial_at: Micros,
 }
 
-impl Far {
-    fn new(listed: SwitchEntry, free: Option<f64>, size: f64) -> Self {
-        let (loops, trial_gap) = (Loops::default(), TRIAL_GAP.0);
-        let (ending, out, unanswered, silent_at, doubted, next_trial) = (None, vec![], 0, 0, false, 0);
-        Far { listed, ending, free, size, loops, out, unanswered, silent_at, doubted, trial_gap, next_trial }
+impl Switch {
+    fn new(entry: SwitchEntry, free_circuits: Option<f64>, group_size: f64) -> Self {
+        Switch {
+            entry,
+            leaving_since: None,
+            free_circuits,
+            group_size,
+            overload: OverloadControl::default(),
+            pending: vec![],
+            unanswered_in_a_row: 0,
+            last_unanswered_at: 0,
+            suspected: false,
+            trial_interval_share: FIRST_TRIAL_INTERVAL_SHARE,
+            next_trial_at: 0,
+        }
     }
 
     fn in_service(&self) -> bool {
-        self.listed.health == Health::InService
+        self.entry.health == Health::InService
+    }
+
+    fn is_cold(&self, now: Micros, settings: &Settings) -> bool {
+        self.entry.up_since.is_some_and(|up_since| now < up_since + settings.warm_up_time)
     }
 
-    fn is_cold(&self, now: Micros, set: &Settings) -> bool {
-        self.listed.up_since.is_some_and(|up| now < up + set.warm_up_time)
+    /// Whether a suspected processor may be sent a trial call; there is one at a time.
+    fn is_trial_due(&self, now: Micros) -> bool {
+        now >= self.next_trial_at && self.pending.is_empty()
     }
 }
 
-/// The decisions of one call agent.
+/// What is known of a group of circuits between two other exchanges.
+struct RemoteGroup {
+    had_room: bool,
+    valid_until: Micros,
+    /// For how long it was valid when last seen.
+    validity: Micros,
+}
+
+/// A number whose lines were all busy.
+struct BusyNumber {
+    /// No calls are sent to it before this time.
+    wait_until: Micros,
+    /// The wait; it doubles when the number is found busy again.
+    wait: Micros,
+}
+
+/// A route chosen for a call.
+struct Route {
+    switch: SwitchId,
+    /// The switch is used as a tandem.
+    tandem: bool,
+    timeout: Micros,
+}
+
+/// The decisions of one gatekeeper.
 pub struct Controller {
-    set: Settings,
+    settings: Settings,
     rng: ChaCha8Rng,
     calls: BTreeMap<CallId, Call>,
-    fars: BTreeMap<SwitchId, Far>,
-    /// The own processor, judged by what all set-ups from here have in common.
-    home: Loops,
-    last_answer: Micros,
-    started: Micros,
-    /// Groups between others: whether there was room, until when that counts, and for how long it did.
-    beyond: BTreeMap<(ExchangeNumber, ExchangeNumber), (bool, Micros, Micros)>,
-    places: BTreeMap<ExchangeNumber, Place>,
-    /// Numbers found busy: until when they are left alone, and for how long the next time.
-    busy: BTreeMap<String, (Micros, Micros)>,
-    /// Numbers of calls that did not stand: when their callers first tried.
-    refused: BTreeMap<String, Micros>,
-    /// Worth on offer, lowest first: value in thousandths of the class worth unit, weight.
-    worths: BTreeMap<i64, Rate>,
-    tenants: Vec<Rate>,
-    /// Calls over a tandem: answered from beyond, and standing.
-    tries: (Rate, Rate),
-    /// When the agent last woke from a stall, and its last turn.
-    turn: (Micros, Micros),
+    switches: BTreeMap<SwitchId, Switch>,
+    /// The own processor. It is not measured itself; its delay is what the set-ups to all switches have in
+    /// common.
+    own_processor: OverloadControl,
+    /// When a call was last established.
+    last_established_at: Micros,
+    started_at: Micros,
+    /// Groups of circuits between other exchanges, by [`group_key`].
+    remote_groups: BTreeMap<(ExchangeNumber, ExchangeNumber), RemoteGroup>,
+    exchanges: BTreeMap<ExchangeNumber, Exchange>,
+    busy_numbers: BTreeMap<String, BusyNumber>,
+    /// Numbers of calls that were not established, and when their callers first tried.
+    unsuccessful_numbers: BTreeMap<String, Micros>,
+    /// Calls offered, by value in thousandths, the lowest first.
+    offered_by_value: BTreeMap<i64, AverageRate>,
+    /// Calls of each tenant.
+    tenant_calls: Vec<AverageRate>,
+    /// Calls over a tandem that showed whether the second leg, from the tandem to the destination, had room.
+    second_leg_attempts: AverageRate,
+    /// Those of them whose second leg had room.
+    second_leg_successes: AverageRate,
+    /// When this process last resumed after a stall.
+    resumed_at: Micros,
+    last_event_at: Micros,
 }
 
 impl Controller {
-    /// A controller that knows nothing yet; its first actions go to `out`.
-    pub fn new(settings: Settings, seed: u64, now: Micros, out: &mut Vec<Action>) -> Self {
+    /// A controller without any state; its first actions are appended to `actions`.
+    pub fn new(settings: Settings, seed: u64, now: Micros, actions: &mut Vec<Action>) -> Self {
         if settings.must_subscribe {
-            out.push(Action::Subscribe);
+            actions.push(Action::Subscribe);
         }
-        out.push(Action::SetTimer { after: PERIOD, token: TIMER_TICK });
-        let mut home = Loops::default();
-        home.fit(1e3);
-        let tenants = settings.tenants.iter().map(|_| Rate::default()).collect();
+        actions.push(Action::SetTimer { after: CONTROL_PERIOD, token: TIMER_TICK });
+        let mut own_processor = OverloadControl::default();
+        // Every set-up passes the own processor. Its traffic is always taken to be high: the shortest
+        // lifetime of samples, and all the required ones.
+        own_processor.adapt_to_traffic(1e3);
+        let tenant_calls = settings.tenants.iter().map(|_| AverageRate::default()).collect();
         Controller {
-            set: settings,
+            settings,
             rng: ChaCha8Rng::seed_from_u64(seed),
             calls: BTreeMap::new(),
-            fars: BTreeMap::new(),
-            home,
-            last_answer: now,
-            started: now,
-            beyond: BTreeMap::new(),
-            places: BTreeMap::new(),
-            busy: BTreeMap::new(),
-            refused: BTreeMap::new(),
-            worths: BTreeMap::new(),
-            tenants,
-            turn: (now, now),
-            tries: Default::default(),
-        }
-    }
-
-    /// Takes one event and appends what is to be done.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        // Danger: after a turn missed all that came meanwhile looks late and proves nothing of far ends.
-        self.turn = (if now > self.turn.1 + STALL { now } else { self.turn.0 }, now);
+            switches: BTreeMap::new(),
+            own_processor,
+            last_established_at: now,
+            started_at: now,
+            remote_groups: BTreeMap::new(),
+            exchanges: BTreeMap::new(),
+            busy_numbers: BTreeMap::new(),
+            unsuccessful_numbers: BTreeMap::new(),
+            offered_by_value: BTreeMap::new(),
+            tenant_calls,
+            second_leg_attempts: AverageRate::default(),
+            second_leg_successes: AverageRate::default(),
+            resumed_at: now,
+            last_event_at: now,
+        }
+    }
+
+    /// Takes one event and appends the actions that follow from it.
+    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+        // After a stall of this process all that came in meanwhile looks late, which proves nothing about the
+        // far processors.
+        if now > self.last_event_at + STALL_TIME {
+            self.resumed_at = now;
+        }
+        self.last_event_at = now;
         match event {
-            Event::SwitchList(list) => self.on_list(now, list, out),
-            Event::NewCall(new) => self.on_call(now, new, out),
+            Event::SwitchList(update) => self.on_switch_list(now, update, actions),
+            Event::NewCall(request) => self.on_new_call(now, request, actions),
             Event::Established { call, attempt, set_up_time } => {
-                self.on_standing(now, call, attempt, set_up_time, out)
+                self.on_established(now, call, attempt, set_up_time, actions);
+            }
+            Event::AttemptEnded(end) => self.on_attempt_ended(now, end, actions),
+            Event::CallerGone(call) => self.remove_call(call),
+            Event::Timer(TIMER_TICK) => self.on_tick(now, actions),
+            Event::Timer(TIMER_RESUBSCRIBE) => actions.push(Action::Subscribe),
+            Event::Timer(token) => {
+                let call = CallId(token >> TIMER_KIND_BITS);
+                self.on_call_timer(now, token & TIMER_KIND_MASK, call, actions);
             }
-            Event::AttemptEnded(end) => self.on_ended(now, end, out),
-            Event::CallerGone(id) => self.forget(id),
-            Event::Timer(TIMER_TICK) => self.on_tick(now, out),
-            Event::Timer(TIMER_RELIST) => out.push(Action::Subscribe),
-            Event::Timer(token) => self.on_timer(now, token & 3, CallId(token >> 2), out),
             Event::SwitchStatus { switch, answered, round_trip, report } => {
-                self.on_report(now, switch, &report);
+                self.on_load_report(now, switch, &report);
                 if answered && round_trip > 0 {
-                    self.fars.entry(switch).and_modify(|f| f.loops.renewed = now);
-                    self.answered(switch, out);
+                    self.switches.entry(switch).and_modify(|s| s.overload.probe_answered_at = now);
+                    self.on_answer(switch, actions);
                 }
             }
             Event::PeerMessage { .. } => {}
         }
     }
 
-    /// A number in [0, 1).
-    fn draw(&mut self) -> f64 {
+    /// A random number in [0, 1).
+    fn random_unit(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A share of the shortest aim.
-    fn of_aim(&self, share: f64) -> Micros {
-        self.set.classes.iter().map(|c| (c.set_up_target as f64 * share) as Micros).min().unwrap_or(ENDLESS)
+    /// `span` times a random factor in [0.75, 1.25).
+    fn with_jitter(&mut self, span: Micros) -> Micros {
+        (span as f64 * (0.75 + 0.5 * self.random_unit())) as Micros
     }
 
-    fn jitter(&mut self, span: Micros) -> Micros {
-        (span as f64 * (0.75 + 0.5 * self.draw())) as Micros
+    /// A share of the shortest set-up target of all classes.
+    fn share_of_shortest_target(&self, share: f64) -> Micros {
+        let targets = self.settings.classes.iter().map(|class| class.set_up_target);
+        targets.map(|target| (target as f64 * share) as Micros).min().unwrap_or(INFINITE_DELAY)
     }
 
-    fn on_list(&mut self, now: Micros, list: SwitchListUpdate, out: &mut Vec<Action>) {
-        let entries = match list {
+    fn on_switch_list(&mut self, now: Micros, update: SwitchListUpdate, actions: &mut Vec<Action>) {
+        let entries = match update {
             SwitchListUpdate::Failed => {
-                return out.push(Action::SetTimer { after: self.jitter(SECOND), token: TIMER_RELIST });
+                let after = self.with_jitter(SECOND);
+                return actions.push(Action::SetTimer { after, token: TIMER_RESUBSCRIBE });
             }
             SwitchListUpdate::Changes(entries) => entries,
             SwitchListUpdate::Full(entries) => {
-                for far in self.fars.values_mut() {
-                    if !entries.iter().any(|e| e.switch == far.listed.switch) {
-                        far.listed.health = Health::Gone;
-                        far.ending.get_or_insert(now);
+                for switch in self.switches.values_mut() {
+                    if !entries.iter().any(|entry| entry.switch == switch.entry.switch) {
+                        switch.entry.health = Health::Gone;
+                        switch.leaving_since.get_or_insert(now);
                     }
                 }
                 entries
             }
         };
-        for e in entries {
-            let id = e.switch;
-            let (lot, place) = (self.draw(), self.places.entry(e.exchange_number).or_default());
-            let known = self.fars.get(&id);
-            let fresh =
-                known.is_none_or(|f| e.up_since != f.listed.up_since && e.health == Health::InService);
-            if fresh {
-                // Danger: a first call of each of many agents at once. Each starts with less than one.
-                place.budget = (lot, now);
+        for entry in entries {
+            let id = entry.switch;
+            let number = entry.exchange_number;
+            let first_budget = self.random_unit();
+            let exchange = self.exchanges.entry(number).or_default();
+            let known = self.switches.get(&id);
+            let has_started = known.is_none_or(|switch| {
+                entry.up_since != switch.entry.up_since && entry.health == Health::InService
+            });
+            if has_started {
+                // The budget starts with a random part of one call. Otherwise each of many gatekeepers could
+                // send a first call at once, which together would overload the cold processor.
+                exchange.cold_budget_calls = first_budget;
+                exchange.cold_budget_at = now;
                 // A machine that replaces another serves the same group of circuits.
-                let twin = known
-                    .or_else(|| self.fars.values().find(|f| f.listed.exchange_number == e.exchange_number));
-                let (free, size) = twin.map_or((None, 0.0), |f| (f.free, f.size));
-                self.fars.insert(id, Far::new(e.clone(), free, size));
+                let predecessor =
+                    known.or_else(|| self.switches.values().find(|s| s.entry.exchange_number == number));
+                let (free_circuits, group_size) =
+                    predecessor.map_or((None, 0.0), |switch| (switch.free_circuits, switch.group_size));
+                self.switches.insert(id, Switch::new(entry.clone(), free_circuits, group_size));
             }
-            let far = self.fars.get_mut(&id).expect("known or just put in");
-            far.listed = e;
-            far.ending = if far.in_service() { None } else { far.ending.or(Some(now)) };
-        }
-        self.places.values_mut().for_each(|p| p.server = None);
-        let mut running: Vec<&Far> = self.fars.values().filter(|f| f.in_service()).collect();
-        running.sort_by_key(|f| f.listed.up_since.unwrap_or(0));
-        for far in running {
-            self.places.entry(far.listed.exchange_number).or_default().server = Some(far.listed.switch);
-        }
-    }
-
-    fn on_report(&mut self, now: Micros, id: SwitchId, report: &LoadReport) {
-        let most = self.bearable();
-        let Some(far) = self.fars.get_mut(&id) else { return };
-        let sound = |v: &f64| v.is_finite() && *v >= 0.0;
-        far.free = report.free_circuits.filter(sound).or(far.free);
-        far.size = report.group_size.filter(sound).unwrap_or(far.size);
-        // One pressure scale: a wait w reads as d = d0 + w.
-        let quiet = far.loops.quiet().unwrap_or(most).min(most) as f64;
-        let told = report
-            .wait_us
-            .filter(sound)
-            .map(|w| w / (quiet + w))
-            .or(report.requested_reduction.filter(sound));
-        far.loops.report = told.map_or(far.loops.report, |p| (p, now));
-    }
-
-    /// Credits a set-up delay, less what the own processor adds to all; and to that what it took beyond the
-    /// quiet one. Danger: when traffic turned to farther ends, their longer way counted as pressure at home.
-    fn sample(&mut self, now: Micros, id: SwitchId, delay: Micros) {
-        let (excess, most) = (self.home.excess(), self.bearable());
-        if let Some(far) = self.fars.get_mut(&id) {
-            if delay < ENDLESS {
-                let quiet = far.loops.quiet().unwrap_or(most).min(most);
-                self.home.sample(now, most + (delay - quiet).max(0));
+            let switch = self.switches.get_mut(&id).expect("known before or just inserted");
+            switch.entry = entry;
+            switch.leaving_since =
+                if switch.in_service() { None } else { switch.leaving_since.or(Some(now)) };
+        }
+        self.exchanges.values_mut().for_each(|exchange| exchange.switch_in_service = None);
+        let mut in_service: Vec<&Switch> = self.switches.values().filter(|s| s.in_service()).collect();
+        in_service.sort_by_key(|switch| switch.entry.up_since.unwrap_or(0));
+        for switch in in_service {
+            let exchange = self.exchanges.entry(switch.entry.exchange_number).or_default();
+            exchange.switch_in_service = Some(switch.entry.switch);
+        }
+    }
+
+    fn on_load_report(&mut self, now: Micros, id: SwitchId, report: &LoadReport) {
+        let max_base_delay = self.max_base_delay();
+        let Some(switch) = self.switches.get_mut(&id) else { return };
+        let is_valid = |value: &f64| value.is_finite() && *value >= 0.0;
+        switch.free_circuits = report.free_circuits.filter(is_valid).or(switch.free_circuits);
+        switch.group_size = report.group_size.filter(is_valid).unwrap_or(switch.group_size);
+        // A reported wait is put on the scale of the measured pressure: the delay is the base delay plus the
+        // wait.
+        let base_delay = switch.overload.bounded_base_delay(max_base_delay) as f64;
+        let pressure_from_wait = report.wait_us.filter(is_valid).map(|wait| wait / (base_delay + wait));
+        if let Some(pressure) = pressure_from_wait.or(report.requested_reduction.filter(is_valid)) {
+            switch.overload.reported_pressure = pressure;
+            switch.overload.reported_at = now;
+        }
+    }
+
+    /// Records a set-up delay. For the far processor it counts less the queueing delay of the own processor,
+    /// which all set-ups have, but no less than the base delay. For the own processor only the part beyond
+    /// the far processor's base delay counts: otherwise traffic that moves to more distant exchanges would
+    /// look like pressure on the own processor.
+    fn record_set_up_delay(&mut self, now: Micros, id: SwitchId, delay: Micros) {
+        let own_queueing_delay = self.own_processor.queueing_delay();
+        let max_base_delay = self.max_base_delay();
+        if let Some(switch) = self.switches.get_mut(&id) {
+            if delay < INFINITE_DELAY {
+                let base_delay = switch.overload.bounded_base_delay(max_base_delay);
+                self.own_processor.add_sample(now, max_base_delay + (delay - base_delay).max(0));
             }
-            let quiet = far.loops.quiet().unwrap_or(0).min(delay);
-            far.loops.failed &= delay == ENDLESS;
-            far.loops.sample(now, (delay - excess).max(quiet));
-        }
-    }
-
-    fn answered(&mut self, id: SwitchId, out: &mut Vec<Action>) {
-        let Some(far) = self.fars.get_mut(&id) else { return };
-        far.unanswered = 0;
-        if far.doubted {
-            (far.doubted, far.trial_gap) = (false, TRIAL_GAP.0);
-            out.push(Action::Log(format!("trusted {}", id.0)));
-        }
-    }
-
-    fn unanswered(&mut self, now: Micros, id: SwitchId, timed_out: bool, out: &mut Vec<Action>) {
-        let gap = self.fars.get(&id).map_or(0, |f| self.of_aim(f.trial_gap));
-        let gap = self.jitter(gap);
-        // Danger: a broken link ends all that is out on it at once. That is one silence, however many calls.
-        let Some(far) = self.fars.get_mut(&id).filter(|f| timed_out || f.silent_at != now) else { return };
-        (far.unanswered, far.silent_at) = (far.unanswered + 1, now);
-        if far.doubted {
-            (far.trial_gap, far.next_trial) = ((far.trial_gap * 2.0).min(TRIAL_GAP.1), now + gap);
-        } else if far.unanswered >= DOUBT_AFTER {
-            (far.doubted, far.next_trial) = (true, now + gap);
-            out.push(Action::Log(format!("doubted {}", id.0)));
-        }
-    }
-
-    /// What a call over a tandem told of the second leg.
-    fn tried(&mut self, now: Micros, tandem: SwitchId, to: ExchangeNumber, room: bool) {
-        let Some(far) = self.fars.get(&tandem) else { return };
-        self.learn(now, far.listed.exchange_number, to, room);
-        self.tries.0.add(now, TAU_TRAFFIC, 1.0);
-        self.tries.1.add(now, TAU_TRAFFIC, f64::from(room));
-    }
-
-    /// What came to be known of a group between two others.
-    fn learn(&mut self, now: Micros, a: ExchangeNumber, b: ExchangeNumber, room: bool) {
-        let seen = self.beyond.entry(pair(a, b)).or_insert((true, now, 0));
-        let span = if room || seen.0 { BEYOND.0 } else { (seen.2 * 2).min(BEYOND.1) };
-        *seen = (room, now + span, span);
-    }
-
-    /// Bounds d0 so that CT stands for a delay that calls can bear: below the first resend, which turns
-    /// waiting into more work, and a third of the shortest aim. Guards against a d0 learned in overload.
-    fn bearable(&self) -> Micros {
-        let aim = self.set.classes.iter().map(|c| c.set_up_target / 3).min().unwrap_or(ENDLESS);
-        let resend = if self.set.retransmit_after > 0 { self.set.retransmit_after } else { aim };
-        ((1.0 - TARGET) * aim.min(resend) as f64) as Micros
-    }
-
-    fn on_tick(&mut self, now: Micros, out: &mut Vec<Action>) {
-        out.push(Action::SetTimer { after: PERIOD, token: TIMER_TICK });
-        let (mut due, mut overdue) = (Vec::new(), Vec::new());
-        let (most, excess, woke) = (self.bearable(), self.home.excess(), self.turn.0);
-        for far in self.fars.values_mut() {
-            let quiet = far.loops.quiet().unwrap_or(most).min(most);
-            let aged = far.out.iter().map(|o| now - o.0.max(woke));
-            let beyond = aged.clone().filter(|a| *a > OVERDUE * quiet).map(|a| most + a - quiet);
-            overdue.extend(beyond.take(2 * usize::from(!far.doubted)));
-            let late: Vec<Micros> = aged.map(|a| a - excess).filter(|a| *a > OVERDUE * quiet).collect();
-            far.loops.fit(self.places[&far.listed.exchange_number].offered.read(now, TAU_TRAFFIC));
-            let raw = far.loops.measure(now, &late, 0.5, most);
-            far.loops.step(now, raw);
-            far.loops.drained(&mut due);
-        }
-        let (raw, pressed) = (self.home.measure(now, &overdue, HOME_QUANTILE, most), self.home.ratio > 0.0);
-        self.home.step(now, raw);
-        self.home.drained(&mut due);
-        if (self.home.ratio > 0.0) != pressed {
-            out.push(Action::Log(format!("own processor {}", if pressed { "eased" } else { "pressed" })));
-        }
-        for id in due {
+            let least_delay = switch.overload.base_delay().unwrap_or(0).min(delay);
+            switch.overload.last_set_up_failed &= delay == INFINITE_DELAY;
+            switch.overload.add_sample(now, (delay - own_queueing_delay).max(least_delay));
+        }
+    }
+
+    /// A processor has answered, whatever the answer.
+    fn on_answer(&mut self, id: SwitchId, actions: &mut Vec<Action>) {
+        let Some(switch) = self.switches.get_mut(&id) else { return };
+        switch.unanswered_in_a_row = 0;
+        if switch.suspected {
+            switch.suspected = false;
+            switch.trial_interval_share = FIRST_TRIAL_INTERVAL_SHARE;
+            actions.push(Action::Log(format!("switch {} answers again", id.0)));
+        }
+    }
+
+    /// An attempt has ended without an answer.
+    fn on_no_answer(&mut self, now: Micros, id: SwitchId, timed_out: bool, actions: &mut Vec<Action>) {
+        let interval_share = self.switches.get(&id).map(|switch| switch.trial_interval_share);
+        let interval = interval_share.map_or(0, |share| self.share_of_shortest_target(share));
+        let interval = self.with_jitter(interval);
+        let Some(switch) = self.switches.get_mut(&id) else { return };
+        // A connection that breaks ends all attempts on it at the same time: they count once, however many.
+        if !timed_out && switch.last_unanswered_at == now {
+            return;
+        }
+        switch.unanswered_in_a_row += 1;
+        switch.last_unanswered_at = now;
+        if switch.suspected {
+            switch.trial_interval_share = (switch.trial_interval_share * 2.0).min(MAX_TRIAL_INTERVAL_SHARE);
+            switch.next_trial_at = now + interval;
+        } else if switch.unanswered_in_a_row >= UNANSWERED_UNTIL_SUSPECTED {
+            switch.suspected = true;
+            switch.next_trial_at = now + interval;
+            actions.push(Action::Log(format!("switch {} does not answer: trial calls only", id.0)));
+        }
+    }
+
+    /// Records what a call over a tandem showed of the second leg, from the tandem to the destination.
+    fn record_second_leg(
+        &mut self, now: Micros, tandem: SwitchId, destination: ExchangeNumber, had_room: bool,
+    ) {
+        let Some(switch) = self.switches.get(&tandem) else { return };
+        self.record_remote_group(now, switch.entry.exchange_number, destination, had_room);
+        self.second_leg_attempts.add(now, TRAFFIC_TIME_CONSTANT_S, 1.0);
+        self.second_leg_successes.add(now, TRAFFIC_TIME_CONSTANT_S, f64::from(had_room));
+    }
+
+    /// Records whether a group of circuits between two other exchanges had room.
+    fn record_remote_group(&mut self, now: Micros, a: ExchangeNumber, b: ExchangeNumber, had_room: bool) {
+        let first_seen = RemoteGroup { had_room: true, valid_until: now, validity: 0 };
+        let group = self.remote_groups.entry(group_key(a, b)).or_insert(first_seen);
+        let validity = if had_room || group.had_room {
+            MIN_REMOTE_GROUP_VALIDITY
+        } else {
+            (group.validity * 2).min(MAX_REMOTE_GROUP_VALIDITY)
+        };
+        *group = RemoteGroup { had_room, valid_until: now + validity, validity };
+    }
+
+    /// Upper bound of the base delay, so that a base delay learned during an overload does not hide the
+    /// overload. It is chosen such that at the target pressure the delay is no longer than calls can bear:
+    /// the time until a set-up is first retransmitted, which turns waiting into more work, and a third of the
+    /// shortest set-up target.
+    fn max_base_delay(&self) -> Micros {
+        let targets = self.settings.classes.iter().map(|class| class.set_up_target / 3);
+        let third_of_target = targets.min().unwrap_or(INFINITE_DELAY);
+        let retransmit_after =
+            if self.settings.retransmit_after > 0 { self.settings.retransmit_after } else { third_of_target };
+        ((1.0 - TARGET_PRESSURE) * third_of_target.min(retransmit_after) as f64) as Micros
+    }
+
+    fn on_tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        actions.push(Action::SetTimer { after: CONTROL_PERIOD, token: TIMER_TICK });
+        let mut drained = Vec::new();
+        let mut overdue_at_own_processor = Vec::new();
+        let max_base_delay = self.max_base_delay();
+        let own_queueing_delay = self.own_processor.queueing_delay();
+        let resumed_at = self.resumed_at;
+        for switch in self.switches.values_mut() {
+            let base_delay = switch.overload.bounded_base_delay(max_base_delay);
+            let overdue_after = OVERDUE_FACTOR * base_delay;
+            let ages = switch.pending.iter().map(|attempt| now - attempt.sent_at.max(resumed_at));
+            let most_counted = if switch.suspected { 0 } else { MAX_OVERDUE_PER_SWITCH };
+            let overdue = ages.clone().filter(|age| *age > overdue_after).take(most_counted);
+            overdue_at_own_processor.extend(overdue.map(|age| max_base_delay + age - base_delay));
+            let far_delays = ages.map(|age| age - own_queueing_delay);
+            let overdue: Vec<Micros> = far_delays.filter(|delay| *delay > overdue_after).collect();
+            let exchange = &self.exchanges[&switch.entry.exchange_number];
+            switch.overload.adapt_to_traffic(exchange.offered_calls.read(now, TRAFFIC_TIME_CONSTANT_S));
+            let pressure = switch.overload.measure_pressure(now, &overdue, MEDIAN, max_base_delay);
+            switch.overload.run_control_period(now, pressure);
+            switch.overload.drain_hold(&mut drained);
+        }
+        let own = &mut self.own_processor;
+        let pressure =
+            own.measure_pressure(now, &overdue_at_own_processor, OWN_PROCESSOR_QUANTILE, max_base_delay);
+        let was_overloaded = own.reject_ratio > 0.0;
+        own.run_control_period(now, pressure);
+        own.drain_hold(&mut drained);
+        if (own.reject_ratio > 0.0) != was_overloaded {
+            let state = if was_overloaded { "no longer overloaded" } else { "overloaded" };
+            actions.push(Action::Log(format!("own processor {state}")));
+        }
+        for id in drained {
             if let Some(call) = self.calls.get_mut(&id) {
-                call.state = State::Idle;
-                self.route(now, id, out);
+                call.state = CallState::Unrouted;
+                self.route(now, id, actions);
             }
         }
-        if now % SECOND < PERIOD {
-            self.busy.retain(|_, b| b.0 + BUSY_NUMBER.1 > now);
-            self.refused.retain(|_, first| *first + REDIAL > now);
-            self.beyond.retain(|_, b| b.1 + BEYOND.1 > now);
-            let lost = |f: &Far| f.ending.is_some_and(|t| t + QUIET_SPAN < now) && f.out.is_empty();
-            self.fars.retain(|_, f| !lost(f));
+        if now % SECOND < CONTROL_PERIOD {
+            // Once a second, remove the state that has expired.
+            self.busy_numbers.retain(|_, number| number.wait_until + MAX_BUSY_NUMBER_WAIT > now);
+            self.unsuccessful_numbers.retain(|_, first_tried_at| *first_tried_at + REDIAL_WINDOW > now);
+            self.remote_groups.retain(|_, group| group.valid_until + MAX_REMOTE_GROUP_VALIDITY > now);
+            self.switches.retain(|_, switch| {
+                let left_long_ago = switch.leaving_since.is_some_and(|since| since + BASE_DELAY_WINDOW < now);
+                !left_long_ago || !switch.pending.is_empty()
+            });
         }
     }
 
-    fn on_timer(&mut self, now: Micros, kind: u64, id: CallId, out: &mut Vec<Action>) {
+    fn on_call_timer(&mut self, now: Micros, kind: u64, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        if kind == TIMER_RETRY && call.state == State::Releasing && now >= call.not_before {
-            call.state = State::Idle;
-            self.route(now, id, out);
-        } else if kind == TIMER_GIVE_UP && call.state != State::Standing {
-            if matches!(call.state, State::Out { .. }) && self.set.may_cancel {
-                out.push(Action::Cancel { call: id, attempt: call.attempts - 1 });
+        if kind == TIMER_RETRY && call.state == CallState::AwaitingRelease && now >= call.release_until {
+            call.state = CallState::Unrouted;
+            self.route(now, id, actions);
+        } else if kind == TIMER_DEADLINE && call.state != CallState::Established {
+            if matches!(call.state, CallState::Attempting { .. }) && self.settings.may_cancel {
+                actions.push(Action::Cancel { call: id, attempt: call.attempts - 1 });
             }
-            self.finish(id, false, out);
+            self.reject_or_fail(id, false, actions);
         }
     }
 
-    fn on_call(&mut self, now: Micros, new: NewCall, out: &mut Vec<Action>) {
-        let id = new.id;
-        if self.calls.contains_key(&id) || new.class >= self.set.classes.len() {
+    fn on_new_call(&mut self, now: Micros, request: NewCall, actions: &mut Vec<Action>) {
+        let id = request.id;
+        if self.calls.contains_key(&id) || request.class >= self.settings.classes.len() {
             return;
         }
-        let (to, via, transit) = (new.destination, new.via_exchange, new.transit);
-        let after = (new.deadline - 2 * self.set.min_batch_interval - now).max(0);
-        out.push(Action::SetTimer { after, token: timer(TIMER_GIVE_UP, id) });
-        let busy = self.busy.get(&new.called_number).is_some_and(|b| b.0 > now);
-        // A number called again soon after it was refused is its caller's redial, marked or not.
-        let seen = self.refused.remove(&new.called_number).filter(|first| !transit && now < first + REDIAL);
-        let arrived = seen.unwrap_or(now);
-        let (state, attempts, tried, not_before, may_have_run) = (State::Idle, 0, vec![], 0, None);
-        let call = Call { new, arrived, state, attempts, tried, not_before, may_have_run };
-        let worth = self.worth(now, &call);
-        let tenant =
-            call.new.tenant.and_then(|t| self.tenants.get_mut(t)).filter(|_| !transit && arrived == now);
-        tenant.into_iter().for_each(|t| t.add(now, TAU_TRAFFIC, 1.0));
+        let destination = request.destination;
+        let via_exchange = request.via_exchange;
+        let transit = request.transit;
+        let after =
+            (request.deadline - DEADLINE_MARGIN_BATCHES * self.settings.min_batch_interval - now).max(0);
+        actions.push(Action::SetTimer { after, token: timer_token(TIMER_DEADLINE, id) });
+        let number_is_busy =
+            self.busy_numbers.get(&request.called_number).is_some_and(|number| number.wait_until > now);
+        // A number called again soon after its call was rejected is a redial, whether it is marked so or not.
+        let earlier_try = self.unsuccessful_numbers.remove(&request.called_number);
+        let redial_of = earlier_try.filter(|tried_at| !transit && now < tried_at + REDIAL_WINDOW);
+        let first_tried_at = redial_of.unwrap_or(now);
+        let is_first_try = first_tried_at == now;
+        let call = Call {
+            request,
+            first_tried_at,
+            state: CallState::Unrouted,
+            attempts: 0,
+            tried_exchanges: vec![],
+            release_until: 0,
+            maybe_executed: None,
+        };
+        let value = self.call_value(now, &call);
+        if !transit && is_first_try {
+            let tenant_calls = call.request.tenant.and_then(|tenant| self.tenant_calls.get_mut(tenant));
+            tenant_calls.into_iter().for_each(|rate| rate.add(now, TRAFFIC_TIME_CONSTANT_S, 1.0));
+        }
         self.calls.insert(id, call);
         if transit {
-            // It comes by way of here because the group between its ends is full, or there is none.
-            self.learn(now, via, to, false);
-            return self.route(now, id, out);
-        }
-        if via >= 0 && self.beyond.get(&pair(via, to)).is_none_or(|b| b.0 || b.1 < now) {
-            // The centre's advice is seconds old: it counts as a group seen with room, if none found it full.
-            self.learn(now, via, to, true);
-        }
-        let Some(dest) = self.serving(to).filter(|_| !busy) else { return self.finish(id, busy, out) };
-        self.worths.entry(worth).or_default().add(now, TAU_TRAFFIC, 1.0);
-        let (first, cold) = (f64::from(arrived == now), self.fars[&dest].is_cold(now, &self.set));
-        let place = self.places.entry(to).or_default();
-        place.offered.add(now, TAU_TRAFFIC, first);
-        let (calls, time) = if cold { (0.0, 0) } else { (first, now - place.usual.1.at.max(self.started)) };
-        place.usual.0.add(now, 4.0 * TAU_TRAFFIC, calls);
-        place.usual.1.add(now, 4.0 * TAU_TRAFFIC, time as f64 / 1e6);
-        let far = &self.fars[&dest];
-        // A doubted processor is tried by single calls; its ratio, without samples, says no more.
-        let trial = far.doubted && now >= far.next_trial && far.out.is_empty();
-        let ratios = (self.home.ratio, if trial { 0.0 } else { far.loops.ratio });
-        if self.refuses(now, ratios.0, worth) || self.refuses(now, ratios.1, worth) {
-            return self.finish(id, false, out);
-        }
-        let far = self.fars.get_mut(&dest).expect("serving() names a known processor");
-        far.loops.offered.add(now, TAU_OFFERED, 1.0);
-        self.home.offered.add(now, TAU_OFFERED, 1.0);
-        if ratios.0.max(ratios.1) > 0.0 && !far.doubted {
-            let hold = if ratios.1 > 0.0 { &mut far.loops } else { &mut self.home };
-            hold.held.push_back(id);
-            self.calls.get_mut(&id).expect("just put in").state = State::Held;
+            // The call comes by this exchange because the group between its ends is full or does not exist.
+            self.record_remote_group(now, via_exchange, destination, false);
+            return self.route(now, id, actions);
+        }
+        if via_exchange >= 0 {
+            // The routing centre's advice is seconds old. It counts as a group seen with room, unless that
+            // group was found full since.
+            let group = self.remote_groups.get(&group_key(via_exchange, destination));
+            if group.is_none_or(|group| group.had_room || group.valid_until < now) {
+                self.record_remote_group(now, via_exchange, destination, true);
+            }
+        }
+        let Some(switch_id) = self.switch_serving(destination).filter(|_| !number_is_busy) else {
+            return self.reject_or_fail(id, number_is_busy, actions);
+        };
+        self.offered_by_value.entry(value).or_default().add(now, TRAFFIC_TIME_CONSTANT_S, 1.0);
+        let switch = &self.switches[&switch_id];
+        let is_cold = switch.is_cold(now, &self.settings);
+        let first_tries = f64::from(is_first_try);
+        let exchange = self.exchanges.entry(destination).or_default();
+        exchange.offered_calls.add(now, TRAFFIC_TIME_CONSTANT_S, first_tries);
+        let warm_calls = if is_cold { 0.0 } else { first_tries };
+        let warm_time = if is_cold { 0 } else { now - exchange.warm_seconds.updated_at.max(self.started_at) };
+        exchange.warm_calls.add(now, WARM_TRAFFIC_TIME_CONSTANT_S, warm_calls);
+        exchange.warm_seconds.add(now, WARM_TRAFFIC_TIME_CONSTANT_S, warm_time as f64 / 1e6);
+        // A suspected processor gets single trial calls. Its reject ratio does not apply to them: it has had
+        // no samples.
+        let is_trial = switch.suspected && switch.is_trial_due(now);
+        let own_ratio = self.own_processor.reject_ratio;
+        let far_ratio = if is_trial { 0.0 } else { switch.overload.reject_ratio };
+        if self.should_reject(now, own_ratio, value) || self.should_reject(now, far_ratio, value) {
+            return self.reject_or_fail(id, false, actions);
+        }
+        let switch = self.switches.get_mut(&switch_id).expect("a switch in service is known");
+        switch.overload.admitted_calls.add(now, HOLD_RATE_TIME_CONSTANT_S, 1.0);
+        self.own_processor.admitted_calls.add(now, HOLD_RATE_TIME_CONSTANT_S, 1.0);
+        if own_ratio.max(far_ratio) > 0.0 && !switch.suspected {
+            let overload = if far_ratio > 0.0 { &mut switch.overload } else { &mut self.own_processor };
+            overload.hold.push_back(id);
+            self.calls.get_mut(&id).expect("inserted above").state = CallState::Held;
         } else {
-            self.route(now, id, out);
+            self.route(now, id, actions);
         }
     }
 
-    /// What a call is worth, in thousandths: class, and less for what comes late or over its tenant's share.
-    fn worth(&self, now: Micros, call: &Call) -> i64 {
-        let class = &self.set.classes[call.new.class];
-        let mut worth = class.value;
-        if now >= call.arrived + class.set_up_target
-            || (call.new.redial && call.attempts == 0 && call.arrived == now)
-        {
-            worth *= class.late_value_factor;
+    /// The value of a call in thousandths, in steps of 50: that of its class, less for a call that is late or
+    /// beyond its tenant's quota.
+    fn call_value(&self, now: Micros, call: &Call) -> i64 {
+        let class = &self.settings.classes[call.request.class];
+        let mut value = class.value;
+        // A redial whose first try is not known counts as late.
+        let is_first_try = call.attempts == 0 && call.first_tried_at == now;
+        if now >= call.first_tried_at + class.set_up_target || (call.request.redial && is_first_try) {
+            value *= class.late_value_factor;
         }
-        if let Some(t) = call.new.tenant.filter(|t| *t < self.tenants.len()) {
-            let all: f64 = self.tenants.iter().map(|r| r.read(now, TAU_TRAFFIC)).sum();
-            let quotas: f64 = self.set.tenants.iter().map(|t| t.quota_per_s).sum();
-            let quota = all * self.set.tenants[t].quota_per_s / quotas;
-            let within = (quota / self.tenants[t].read(now, TAU_TRAFFIC)).min(1.0);
-            worth *= within + (1.0 - within) * self.set.over_quota_value_factor;
+        if let Some(tenant) = call.request.tenant.filter(|tenant| *tenant < self.tenant_calls.len()) {
+            let calls_per_s: f64 =
+                self.tenant_calls.iter().map(|rate| rate.read(now, TRAFFIC_TIME_CONSTANT_S)).sum();
+            let quotas_per_s: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
+            // This gatekeeper's part of the quota: the tenant's share of all quotas, of the traffic here.
+            let quota_per_s = calls_per_s * self.settings.tenants[tenant].quota_per_s / quotas_per_s;
+            let tenant_per_s = self.tenant_calls[tenant].read(now, TRAFFIC_TIME_CONSTANT_S);
+            let within_quota = (quota_per_s / tenant_per_s).min(1.0);
+            value *= within_quota + (1.0 - within_quota) * self.settings.over_quota_value_factor;
         }
-        (worth * 20.0).round() as i64 * 50
+        (value * 20.0).round() as i64 * 50
     }
 
-    /// Whether a reject ratio falls on a call of this worth: the least worth go first.
-    fn refuses(&mut self, now: Micros, ratio: f64, worth: i64) -> bool {
-        if ratio <= 0.0 {
+    /// Decides whether a call of this value is among those that a reject ratio rejects. Calls of the lowest
+    /// value are rejected first.
+    fn should_reject(&mut self, now: Micros, reject_ratio: f64, value: i64) -> bool {
+        if reject_ratio <= 0.0 {
             return false;
         }
-        let sum = |part: &dyn Fn(i64) -> bool| -> f64 {
-            self.worths.iter().filter(|w| part(*w.0)).map(|w| w.1.read(now, TAU_TRAFFIC)).sum()
+        let offered_per_s = |counts: &dyn Fn(i64) -> bool| -> f64 {
+            let rates = self.offered_by_value.iter().filter(|(offered_value, _)| counts(**offered_value));
+            rates.map(|(_, rate)| rate.read(now, TRAFFIC_TIME_CONSTANT_S)).sum()
         };
-        let share = (ratio * sum(&|_| true) - sum(&|w| w < worth)) / sum(&|w| w == worth).max(1e-9);
-        self.draw() < share
+        let to_reject_per_s = reject_ratio * offered_per_s(&|_| true);
+        let lower_per_s = offered_per_s(&|offered_value| offered_value < value);
+        let equal_per_s = offered_per_s(&|offered_value| offered_value == value);
+        let probability = (to_reject_per_s - lower_per_s) / equal_per_s.max(1e-9);
+        self.random_unit() < probability
     }
 
-    /// The processor in service at a number; the newest where there are several.
-    fn serving(&self, number: ExchangeNumber) -> Option<SwitchId> {
-        self.places.get(&number)?.server
+    /// The switch in service at an exchange; the newest where there are several.
+    fn switch_serving(&self, exchange: ExchangeNumber) -> Option<SwitchId> {
+        self.exchanges.get(&exchange)?.switch_in_service
     }
 
-    /// Sends a call by the route that the design gives it, or refuses it.
-    fn route(&mut self, now: Micros, id: CallId, out: &mut Vec<Action>) {
-        let sent =
-            self.pick(now, id).is_some_and(|(to, tandem, wait)| self.send(now, id, to, tandem, wait, out));
+    /// Sends a call by the route chosen for it; rejects it if there is none.
+    fn route(&mut self, now: Micros, id: CallId, actions: &mut Vec<Action>) {
+        let sent = match self.choose_route(now, id) {
+            Some(route) => self.send_set_up(now, id, &route, actions),
+            None => false,
+        };
         if !sent {
-            self.finish(id, false, out);
+            self.reject_or_fail(id, false, actions);
         }
     }
 
-    /// Direct first, else one random tandem with room beyond the reserve: to where, whether as a tandem, and
-    /// for how long to wait.
-    fn pick(&mut self, now: Micros, id: CallId) -> Option<(SwitchId, bool, Micros)> {
-        let lot = self.draw();
+    /// The direct route if its group has room, else one tandem, chosen at random among those whose group has
+    /// room beyond the trunk reservation.
+    fn choose_route(&mut self, now: Micros, id: CallId) -> Option<Route> {
+        let unknown_leg_draw = self.random_unit();
         let call = self.calls.get(&id)?;
-        let (to, width, transit) = (call.new.destination, call.new.circuits, call.new.transit);
-        let class = &self.set.classes[call.new.class];
-        let left =
-            Some(call.arrived + class.set_up_target - now).filter(|l| *l > 0).unwrap_or(class.set_up_target);
-        let dest = self.serving(to)?;
-        let keep = if transit { self.reserve(now, dest) } else { 0.0 };
-        let half = left.min((class.set_up_target as f64 * HALF) as Micros);
-        if transit || self.room(dest) >= width {
-            let wait = if !transit && self.quick(dest, half) { half } else { left };
-            return (self.room(dest) >= width + keep).then_some((dest, false, wait));
-        }
-        self.places.entry(to).or_default().blocked.add(now, TAU_TRAFFIC, 1.0);
-        if self.fars[&dest].doubted {
+        let destination = call.request.destination;
+        let circuits = call.request.circuits;
+        let transit = call.request.transit;
+        let class = &self.settings.classes[call.request.class];
+        let time_to_target = call.first_tried_at + class.set_up_target - now;
+        let time_left = if time_to_target > 0 { time_to_target } else { class.set_up_target };
+        let short_timeout = time_left.min((class.set_up_target as f64 * ATTEMPT_TARGET_SHARE) as Micros);
+        let direct = self.switch_serving(destination)?;
+        // A transit call uses its tandem's group and leaves the trunk reservation to direct calls.
+        let reserved = if transit { self.reserved_circuits(now, direct) } else { 0.0 };
+        if transit || self.free_circuits(direct) >= circuits {
+            let leave_time_to_repeat = !transit && self.answers_quickly(direct, short_timeout);
+            let timeout = if leave_time_to_repeat { short_timeout } else { time_left };
+            let has_room = self.free_circuits(direct) >= circuits + reserved;
+            return has_room.then_some(Route { switch: direct, tandem: false, timeout });
+        }
+        let exchange = self.exchanges.entry(destination).or_default();
+        exchange.blocked_calls.add(now, TRAFFIC_TIME_CONSTANT_S, 1.0);
+        if self.switches[&direct].suspected {
+            // A tandem would lead to the same processor.
             return None;
         }
-        let mut open: Vec<(bool, SwitchId)> = Vec::new();
-        for (n, place) in self.places.iter().filter(|(n, _)| **n != to && !call.tried.contains(n)) {
-            let skilled = !self.set.pool_topology
+        // Usable tandems, and whether the second leg, from there to the destination, was last seen with room.
+        let mut tandems: Vec<(SwitchId, bool)> = Vec::new();
+        for (number, exchange) in &self.exchanges {
+            if *number == destination || call.tried_exchanges.contains(number) {
+                continue;
+            }
+            let is_eligible = !self.settings.pool_topology
                 || class.eligible_pools.is_empty()
-                || class.eligible_pools.contains(n);
-            let Some(x) = place.server.filter(|_| skilled) else { continue };
-            // Full beyond, when last seen: another agent's group, of which nothing else is known.
-            let seen = self.beyond.get(&pair(*n, to)).filter(|b| b.1 > now).map(|b| b.0);
-            let fits = seen != Some(false) && self.room(x) >= width + self.reserve(now, x);
-            if fits && self.gate(now, id, x, true) {
-                open.push((seen == Some(true), x));
+                || class.eligible_pools.contains(number);
+            let Some(tandem) = exchange.switch_in_service.filter(|_| is_eligible) else { continue };
+            let remote_group = self.remote_groups.get(&group_key(*number, destination));
+            let second_leg_had_room =
+                remote_group.filter(|group| group.valid_until > now).map(|group| group.had_room);
+            let has_room = second_leg_had_room != Some(false)
+                && self.free_circuits(tandem) >= circuits + self.reserved_circuits(now, tandem);
+            if has_room && self.may_send(now, id, tandem, true) {
+                tandems.push((tandem, second_leg_had_room == Some(true)));
             }
         }
-        // Danger: blind tries load three processors. None while the own one is pressed; a further one by the
-        // chance that second legs had room of late.
-        let tries = self.tries.0.read(now, TAU_TRAFFIC) + 1.0 / TAU_TRAFFIC;
-        let again = lot * tries < self.tries.1.read(now, TAU_TRAFFIC) + 1.0 / TAU_TRAFFIC;
-        if !(again || call.attempts == 0) || self.home.ratio > 0.0 || open.iter().any(|o| o.0) {
-            open.retain(|o| o.0);
-        }
-        let worth = open.first().map(|_| self.worth(now, call))?;
-        let pick = open[(self.draw() * open.len() as f64) as usize].1;
-        (!self.refuses(now, self.fars[&pick].loops.ratio, worth)).then_some((pick, true, half))
-    }
-
-    /// Danger: lost answers. Whether set-ups take well below this span, as far as is known, so that one more
-    /// can follow one unanswered without feeding an overload.
-    fn quick(&self, id: SwitchId, span: Micros) -> bool {
-        let eased = self.fars.get(&id).filter(|f| !f.doubted && f.loops.ratio.max(self.home.ratio) <= 0.0);
-        eased.and_then(|f| f.loops.delay.or(self.home.delay)).is_some_and(|d| 4 * d < span)
-    }
-
-    /// Free circuits toward a processor, as far as is known.
-    fn room(&self, id: SwitchId) -> f64 {
-        self.fars.get(&id).map_or(0.0, |f| f.free.unwrap_or(f64::INFINITY))
-    }
-
-    /// Circuits kept free for direct traffic: more as more of it was blocked of late.
-    fn reserve(&self, now: Micros, id: SwitchId) -> f64 {
-        let Some(far) = self.fars.get(&id) else { return 0.0 };
-        let Some(place) = self.places.get(&far.listed.exchange_number) else { return 0.0 };
-        let offered = place.offered.read(now, TAU_TRAFFIC);
-        let blocked = if offered > 0.0 { place.blocked.read(now, TAU_TRAFFIC) / offered } else { 0.0 };
-        RESERVE.0 + (RESERVE.1 * blocked.min(1.0) * far.size).round()
-    }
-
-    /// Whether the rules allow a send of this call to this processor now.
-    fn gate(&self, now: Micros, id: CallId, to: SwitchId, tandem: bool) -> bool {
-        let (Some(call), Some(far)) = (self.calls.get(&id), self.fars.get(&to)) else { return false };
-        let number = far.listed.exchange_number;
-        let direct = number == call.new.destination;
-        let class = &self.set.classes[call.new.class];
-        let in_time = now + 2 * self.set.min_batch_interval < call.new.deadline && now >= call.not_before;
-        let single = call.state == State::Idle && call.attempts < self.set.max_attempts;
-        let transit = direct || (!call.new.transit && tandem);
-        let own = number == self.set.own_exchange && !self.set.pool_topology;
-        let repeatable = match (class.repeat_policy, call.may_have_run) {
+        // A call over a tandem loads three processors, in vain if the second leg is full. Tandems whose
+        // second leg is not known to have room are used only if there are no others, and not while the own
+        // processor is overloaded. After the call's first attempt they are used with a probability that is
+        // the share of second legs that had room lately; one attempt with room is counted in advance.
+        let attempts_per_s =
+            self.second_leg_attempts.read(now, TRAFFIC_TIME_CONSTANT_S) + 1.0 / TRAFFIC_TIME_CONSTANT_S;
+        let successes_per_s =
+            self.second_leg_successes.read(now, TRAFFIC_TIME_CONSTANT_S) + 1.0 / TRAFFIC_TIME_CONSTANT_S;
+        let may_try_unknown = call.attempts == 0 || unknown_leg_draw * attempts_per_s < successes_per_s;
+        let any_known = tandems.iter().any(|(_, known_room)| *known_room);
+        if !may_try_unknown || self.own_processor.reject_ratio > 0.0 || any_known {
+            tandems.retain(|(_, known_room)| *known_room);
+        }
+        if tandems.is_empty() {
+            return None;
+        }
+        let value = self.call_value(now, call);
+        let (tandem, _) = tandems[(self.random_unit() * tandems.len() as f64) as usize];
+        let tandem_ratio = self.switches[&tandem].overload.reject_ratio;
+        let is_rejected = self.should_reject(now, tandem_ratio, value);
+        (!is_rejected).then_some(Route { switch: tandem, tandem: true, timeout: short_timeout })
+    }
+
+    /// Whether set-ups at a processor are known to take well below `time_available`, with no calls rejected
+    /// there or at the own processor. An unanswered set-up can then be repeated without adding to an
+    /// overload: its answer was probably lost.
+    fn answers_quickly(&self, id: SwitchId, time_available: Micros) -> bool {
+        let Some(switch) = self.switches.get(&id) else { return false };
+        if switch.suspected || switch.overload.reject_ratio.max(self.own_processor.reject_ratio) > 0.0 {
+            return false;
+        }
+        let delay = switch.overload.delay.or(self.own_processor.delay);
+        delay.is_some_and(|delay| QUICK_ANSWER_FACTOR * delay < time_available)
+    }
+
+    /// Free circuits towards a switch; infinite until they have been reported.
+    fn free_circuits(&self, id: SwitchId) -> f64 {
+        self.switches.get(&id).map_or(0.0, |switch| switch.free_circuits.unwrap_or(f64::INFINITY))
+    }
+
+    /// Trunk reservation: circuits towards a switch that are kept free for direct calls. The more of those
+    /// were blocked lately, the more are kept.
+    fn reserved_circuits(&self, now: Micros, id: SwitchId) -> f64 {
+        let Some(switch) = self.switches.get(&id) else { return 0.0 };
+        let Some(exchange) = self.exchanges.get(&switch.entry.exchange_number) else { return 0.0 };
+        let offered_per_s = exchange.offered_calls.read(now, TRAFFIC_TIME_CONSTANT_S);
+        let blocked_share = if offered_per_s > 0.0 {
+            exchange.blocked_calls.read(now, TRAFFIC_TIME_CONSTANT_S) / offered_per_s
+        } else {
+            0.0
+        };
+        MIN_RESERVED_CIRCUITS + (MAX_RESERVED_SHARE * blocked_share.min(1.0) * switch.group_size).round()
+    }
+
+    /// Whether a call may be sent to a switch now.
+    fn may_send(&self, now: Micros, id: CallId, switch_id: SwitchId, tandem: bool) -> bool {
+        let (Some(call), Some(switch)) = (self.calls.get(&id), self.switches.get(&switch_id)) else {
+            return false;
+        };
+        let number = switch.entry.exchange_number;
+        let is_direct = number == call.request.destination;
+        let class = &self.settings.classes[call.request.class];
+        let can_be_answered =
+            now + DEADLINE_MARGIN_BATCHES * self.settings.min_batch_interval < call.request.deadline;
+        let is_released = now >= call.release_until;
+        let is_unrouted = call.state == CallState::Unrouted;
+        let has_attempts_left = call.attempts < self.settings.max_attempts;
+        // A transit call goes on to its destination only.
+        let is_allowed_route = is_direct || (!call.request.transit && tandem);
+        let is_own_exchange = number == self.settings.own_exchange && !self.settings.pool_topology;
+        let may_be_repeated = match (class.repeat_policy, &call.maybe_executed) {
             (RepeatPolicy::Idempotent, _) | (_, None) => true,
             (RepeatPolicy::AtMostOnce, Some(_)) => false,
-            (RepeatPolicy::Deduplicated, Some((at, first))) => {
-                let same = self.fars.get(&first).is_some_and(|f| match class.deduplication_scope {
-                    DeduplicationScope::Zone => f.listed.zone == far.listed.zone,
-                    _ => f.listed.exchange_number == number,
-                });
-                (same || class.deduplication_scope == DeduplicationScope::AllExchanges)
-                    && now < at + class.deduplication_window
+            (RepeatPolicy::Deduplicated, Some(first)) => {
+                let first_entry = self.switches.get(&first.switch).map(|switch| &switch.entry);
+                let in_scope = match class.deduplication_scope {
+                    DeduplicationScope::AllExchanges => true,
+                    DeduplicationScope::Zone => first_entry.is_some_and(|e| e.zone == switch.entry.zone),
+                    DeduplicationScope::Exchange => first_entry.is_some_and(|e| e.exchange_number == number),
+                };
+                in_scope && now < first.sent_at + class.deduplication_window
             }
         };
-        let cold = !far.is_cold(now, &self.set) || (direct && self.cold_budget(now, far) >= 1.0);
-        // Silence: a doubted processor gets one trial at a time.
-        let trusted = !far.doubted || (direct && now >= far.next_trial && far.out.is_empty());
-        in_time && single && far.in_service() && transit && !own && repeatable && cold && trusted
-    }
-
-    /// Rule 4, by each agent alone: its part of what a cold processor can bear, from its warm traffic.
-    fn cold_budget(&self, now: Micros, far: &Far) -> f64 {
-        let place = &self.places[&far.listed.exchange_number];
-        let age = (now - far.listed.up_since.unwrap_or(now)).max(0) as f64;
-        let warmth = (age / self.set.warm_up_time.max(1) as f64).min(1.0);
-        let share = self.set.cold_capacity_share + (1.0 - self.set.cold_capacity_share) * warmth * warmth;
-        let offered = place.offered.read(now, TAU_TRAFFIC);
-        // Danger: processors that are replaced time and again are hardly ever warm.
-        let usual = place.usual.0.value / place.usual.1.value.max(1.0 / TAU_TRAFFIC);
-        // Danger: a surge with the news of a start raises the part of every agent.
-        let known = if usual > 0.0 { offered.max(usual).min(COLD_SURGE * usual) } else { offered };
-        let rate = self.set.cold_overload_factor * share * known;
-        let dt = (now - place.budget.1).max(0) as f64 / 1e6;
-        let most = (rate * self.set.cold_overload_duration as f64 / 1e6 / 3.0).max(1.0);
-        (place.budget.0 + rate * dt).min(most)
-    }
-
-    fn send(
-        &mut self, now: Micros, id: CallId, to: SwitchId, tandem: bool, timeout: Micros,
-        out: &mut Vec<Action>,
-    ) -> bool {
-        if !self.gate(now, id, to, tandem) {
+        // A cold processor and a suspected one get direct calls only, within the budget and as trials.
+        let within_cold_budget =
+            !switch.is_cold(now, &self.settings) || (is_direct && self.cold_budget(now, switch) >= 1.0);
+        let is_trusted = !switch.suspected || (is_direct && switch.is_trial_due(now));
+        can_be_answered
+            && is_released
+            && is_unrouted
+            && has_attempts_left
+            && switch.in_service()
+            && is_allowed_route
+            && !is_own_exchange
+            && may_be_repeated
+            && within_cold_budget
+            && is_trusted
+    }
+
+    /// Calls that this gatekeeper may now send to a cold processor. The gatekeepers do not coordinate: each
+    /// allows itself a part that corresponds to its own traffic when the processor was warm, so that the sum
+    /// over all gatekeepers does not overload the processor.
+    fn cold_budget(&self, now: Micros, switch: &Switch) -> f64 {
+        let exchange = &self.exchanges[&switch.entry.exchange_number];
+        let age = (now - switch.entry.up_since.unwrap_or(now)).max(0) as f64;
+        let warmth = (age / self.settings.warm_up_time.max(1) as f64).min(1.0);
+        let cold_share = self.settings.cold_capacity_share;
+        let capacity_share = cold_share + (1.0 - cold_share) * warmth * warmth;
+        let offered_per_s = exchange.offered_calls.read(now, TRAFFIC_TIME_CONSTANT_S);
+        // The traffic is averaged over warm time alone, so that it does not fade where processors are
+        // replaced one after the other and are hardly ever warm.
+        let warm_seconds = exchange.warm_seconds.value_per_s.max(1.0 / TRAFFIC_TIME_CONSTANT_S);
+        let warm_calls_per_s = exchange.warm_calls.value_per_s / warm_seconds;
+        // A surge of traffic at the time of the start would raise the part of every gatekeeper: it is
+        // limited.
+        let calls_per_s = if warm_calls_per_s > 0.0 {
+            offered_per_s.max(warm_calls_per_s).min(MAX_COLD_SURGE * warm_calls_per_s)
+        } else {
+            offered_per_s
+        };
+        let budget_per_s = self.settings.cold_overload_factor * capacity_share * calls_per_s;
+        let elapsed_s = (now - exchange.cold_budget_at).max(0) as f64 / 1e6;
+        // At most a third of the calls that would overload the processor may be saved up.
+        let overload_calls = budget_per_s * self.settings.cold_overload_duration as f64 / 1e6;
+        let max_budget = (overload_calls / 3.0).max(1.0);
+        (exchange.cold_budget_calls + budget_per_s * elapsed_s).min(max_budget)
+    }
+
+    /// Sends a call by a route; false if the call may not be sent there now.
+    fn send_set_up(&mut self, now: Micros, id: CallId, route: &Route, actions: &mut Vec<Action>) -> bool {
+        if !self.may_send(now, id, route.switch, route.tandem) {
             return false;
         }
-        let far = &self.fars[&to];
-        let (number, cold, budget) =
-            (far.listed.exchange_number, far.is_cold(now, &self.set), self.cold_budget(now, far));
-        let gap = self.of_aim(far.trial_gap);
-        let gap = self.jitter(gap);
-        let place = self.places.entry(number).or_default();
-        if cold {
-            place.budget = (budget - 1.0, now);
-        }
-        let far = self.fars.get_mut(&to).expect("the gate saw it");
-        let call = self.calls.get_mut(&id).expect("the gate saw it");
-        if far.doubted {
-            far.next_trial = now + gap;
-        }
-        far.free = far.free.map(|f| f - call.new.circuits);
-        far.out.push((now, id));
-        call.state = State::Out { exchange: to, sent: now, tandem };
+        let switch = &self.switches[&route.switch];
+        let number = switch.entry.exchange_number;
+        let is_cold = switch.is_cold(now, &self.settings);
+        let cold_budget = self.cold_budget(now, switch);
+        let trial_interval = self.share_of_shortest_target(switch.trial_interval_share);
+        let trial_interval = self.with_jitter(trial_interval);
+        let exchange = self.exchanges.entry(number).or_default();
+        if is_cold {
+            exchange.cold_budget_calls = cold_budget - 1.0;
+            exchange.cold_budget_at = now;
+        }
+        let switch = self.switches.get_mut(&route.switch).expect("may_send() found the switch");
+        let call = self.calls.get_mut(&id).expect("may_send() found the call");
+        if switch.suspected {
+            switch.next_trial_at = now + trial_interval;
+        }
+        switch.free_circuits = switch.free_circuits.map(|free| free - call.request.circuits);
+        switch.pending.push(PendingAttempt { sent_at: now, call: id });
+        call.state = CallState::Attempting { switch: route.switch, sent_at: now, tandem: route.tandem };
         call.attempts += 1;
-        call.tried.push(number);
-        out.push(Action::SendSetUp {
-            call: id,
-            switch: to,
-            timeout: timeout.max(self.set.min_batch_interval),
-        });
+        call.tried_exchanges.push(number);
+        let timeout = route.timeout.max(self.settings.min_batch_interval);
+        actions.push(Action::SendSetUp { call: id, switch: route.switch, timeout });
         true
     }
 
-    fn on_standing(&mut self, now: Micros, id: CallId, attempt: u32, took: Micros, out: &mut Vec<Action>) {
-        let Some(call) = self.calls.get_mut(&id).filter(|c| attempt + 1 == c.attempts) else { return };
-        let State::Out { exchange, sent, tandem } = call.state else { return };
-        call.state = State::Standing;
-        let to = call.new.destination;
+    fn on_established(
+        &mut self, now: Micros, id: CallId, attempt: u32, set_up_time: Micros, actions: &mut Vec<Action>,
+    ) {
+        let Some(call) = self.calls.get_mut(&id).filter(|call| attempt + 1 == call.attempts) else { return };
+        let CallState::Attempting { switch, sent_at, tandem } = call.state else { return };
+        call.state = CallState::Established;
+        let destination = call.request.destination;
         if tandem {
-            self.tried(now, exchange, to, true);
+            self.record_second_leg(now, switch, destination, true);
         }
-        let took = if tandem { (took as f64 / TANDEM_STRETCH) as Micros } else { took };
-        self.no_longer_out(id, exchange);
-        self.answered(exchange, out);
-        self.last_answer = now;
-        if sent >= self.turn.0 || now > self.turn.0 {
-            self.sample(now, exchange, took.max(1));
+        let direct_set_up_time =
+            if tandem { (set_up_time as f64 / TANDEM_SET_UP_FACTOR) as Micros } else { set_up_time };
+        self.remove_pending(id, switch);
+        self.on_answer(switch, actions);
+        self.last_established_at = now;
+        // The answer to a set-up sent before a stall and handled right after it may have waited for this
+        // process: its delay proves nothing.
+        if sent_at >= self.resumed_at || now > self.resumed_at {
+            self.record_set_up_delay(now, switch, direct_set_up_time.max(1));
         }
     }
 
-    fn no_longer_out(&mut self, id: CallId, exchange: SwitchId) {
-        self.fars.entry(exchange).and_modify(|far| far.out.retain(|o| o.1 != id));
+    /// An attempt is no longer in progress.
+    fn remove_pending(&mut self, id: CallId, switch: SwitchId) {
+        let remove = |switch: &mut Switch| switch.pending.retain(|attempt| attempt.call != id);
+        self.switches.entry(switch).and_modify(remove);
     }
 
-    fn on_ended(&mut self, now: Micros, end: AttemptEnd, out: &mut Vec<Action>) {
-        self.on_report(now, end.switch, &end.report);
-        let (id, outcome, closed) = (end.call, end.outcome, end.call_closed);
+    fn on_attempt_ended(&mut self, now: Micros, end: AttemptEnd, actions: &mut Vec<Action>) {
+        self.on_load_report(now, end.switch, &end.report);
+        let id = end.call;
+        let outcome = end.outcome;
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let State::Out { exchange, sent, tandem } = call.state else {
-            if closed {
-                self.forget(id);
+        let CallState::Attempting { switch, sent_at, tandem } = call.state else {
+            if end.call_closed {
+                self.remove_call(id);
             }
             return;
         };
         if end.attempt + 1 != call.attempts {
             return;
         }
-        call.state = State::Idle;
+        call.state = CallState::Unrouted;
         if !matches!(outcome, Outcome::Congested | Outcome::Unreachable | Outcome::NotSent) {
-            call.may_have_run.get_or_insert((sent, exchange));
+            call.maybe_executed.get_or_insert(SentAttempt { sent_at, switch });
         }
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            call.not_before = now + self.set.release_wait + self.set.min_batch_interval;
+            call.release_until = now + self.settings.release_wait + self.settings.min_batch_interval;
         }
-        let left = call.arrived + self.set.classes[call.new.class].set_up_target - now;
-        let (called, to, transit) = (call.new.called_number.clone(), call.new.destination, call.new.transit);
-        self.no_longer_out(id, exchange);
-        let woke = self.fars.get(&exchange).map_or(0, |f| f.loops.renewed).max(self.turn.0);
-        let (mut away, mut again) = (false, false);
+        let set_up_target = self.settings.classes[call.request.class].set_up_target;
+        let time_to_target = call.first_tried_at + set_up_target - now;
+        let called_number = call.request.called_number.clone();
+        let destination = call.request.destination;
+        let transit = call.request.transit;
+        self.remove_pending(id, switch);
         if matches!(outcome, Outcome::Completed | Outcome::Failed | Outcome::Congested | Outcome::Cancelled) {
-            self.answered(exchange, out);
+            self.on_answer(switch, actions);
         }
+        // A time-out of a set-up sent before this time proves nothing: the set-up was lost on the way, or its
+        // answer came during a stall.
+        let probe_answered_at = self.switches.get(&switch).map_or(0, |s| s.overload.probe_answered_at);
+        let valid_from = probe_answered_at.max(self.resumed_at);
+        let mut number_is_busy = false;
+        let mut try_again = false;
         match (outcome, end.reason) {
-            (Outcome::TimedOut, _) if sent < woke => again = tandem || sent >= self.turn.0,
-            // Nothing came back from anywhere since: it is the own processor that is silent.
-            (Outcome::TimedOut, _) if self.last_answer < sent => {
-                self.home.sample(now, ENDLESS);
-                again = tandem || self.quick(exchange, left);
+            (Outcome::TimedOut, _) if sent_at < valid_from => {
+                try_again = tandem || sent_at >= self.resumed_at;
+            }
+            // No call was established anywhere since: it is the own processor that does not respond.
+            (Outcome::TimedOut, _) if self.last_established_at < sent_at => {
+                self.own_processor.add_sample(now, INFINITE_DELAY);
+                try_again = tandem || self.answers_quickly(switch, time_to_target);
             }
-            // A cut link or a dead processor resets each set-up anew: silence by another name.
+            // A broken connection or a dead processor resets each new set-up: resets count as unanswered too.
             (Outcome::TimedOut | Outcome::Unreachable | Outcome::Reset, _) => {
                 if outcome != Outcome::Reset {
-                    self.sample(now, exchange, ENDLESS);
+                    self.record_set_up_delay(now, switch, INFINITE_DELAY);
                 }
-                self.unanswered(now, exchange, outcome == Outcome::TimedOut, out);
-                again = tandem || outcome == Outcome::Reset || self.quick(exchange, left);
+                self.on_no_answer(now, switch, outcome == Outcome::TimedOut, actions);
+                try_again =
+                    tandem || outcome == Outcome::Reset || self.answers_quickly(switch, time_to_target);
             }
-            (Outcome::NotSent, cause) if !matches!(cause, EndReason::ProcessorCongested(_)) => {
-                self.fars.entry(exchange).and_modify(|far| far.free = Some(0.0));
-                again = true;
+            (Outcome::NotSent, reason) if !matches!(reason, EndReason::ProcessorCongested(_)) => {
+                self.switches.entry(switch).and_modify(|s| s.free_circuits = Some(0.0));
+                try_again = true;
             }
-            (Outcome::Congested, EndReason::ProcessorCongested(_) | EndReason::CongestedBeyondTandem) => {
-                let full = if end.reason == EndReason::CongestedBeyondTandem {
-                    self.serving(to)
-                } else {
-                    Some(exchange)
-                };
-                full.into_iter().for_each(|x| self.sample(now, x, ENDLESS));
+            (Outcome::Congested, EndReason::CongestedBeyondTandem) => {
+                if let Some(congested) = self.switch_serving(destination) {
+                    self.record_set_up_delay(now, congested, INFINITE_DELAY);
+                }
+            }
+            (Outcome::Congested, EndReason::ProcessorCongested(_)) => {
+                self.record_set_up_delay(now, switch, INFINITE_DELAY);
             }
             (Outcome::Congested, _) => {
                 if tandem {
-                    self.tried(now, exchange, to, false);
+                    self.record_second_leg(now, switch, destination, false);
                 }
-                again = self.calls[&id].attempts < 2;
+                // At most one attempt follows, even if the settings allow more.
+                try_again = self.calls[&id].attempts < 2;
             }
             (Outcome::Failed, EndReason::SubscriberBusy) => {
-                let last = self.busy.get(&called).map_or(BUSY_NUMBER.0, |b| (b.1 * 2).min(BUSY_NUMBER.1));
-                self.busy.insert(called, (now + last, last));
-                away = true;
+                let known = self.busy_numbers.get(&called_number);
+                let wait = known.map_or(MIN_BUSY_NUMBER_WAIT, |b| (b.wait * 2).min(MAX_BUSY_NUMBER_WAIT));
+                self.busy_numbers.insert(called_number, BusyNumber { wait_until: now + wait, wait });
+                number_is_busy = true;
             }
-            // Danger: a processor that fails most set-ups. While answers are quick, one more try is cheap.
+            // Some processors fail most set-ups at once. Where answers are quick, another attempt costs
+            // little; a single failure may be due to the call itself.
             (Outcome::Failed, _) => {
-                again = self.quick(exchange, left) && self.fars[&exchange].loops.failed;
-                self.fars.entry(exchange).and_modify(|f| f.loops.failed = true);
+                try_again = self.answers_quickly(switch, time_to_target)
+                    && self.switches[&switch].overload.last_set_up_failed;
+                self.switches.entry(switch).and_modify(|s| s.overload.last_set_up_failed = true);
             }
+            // The call ended or was cancelled, or the own processor is down.
             _ => {}
         }
-        if closed {
-            return self.forget(id);
+        if end.call_closed {
+            return self.remove_call(id);
         }
-        if !again || transit {
-            return self.finish(id, away, out);
+        if !try_again || transit {
+            return self.reject_or_fail(id, number_is_busy, actions);
         }
-        let call = self.calls.get_mut(&id).expect("still here");
-        if call.not_before > now {
-            call.state = State::Releasing;
-            let after = call.not_before - now;
-            out.push(Action::SetTimer { after, token: timer(TIMER_RETRY, id) });
+        let call = self.calls.get_mut(&id).expect("found above");
+        if call.release_until > now {
+            call.state = CallState::AwaitingRelease;
+            let after = call.release_until - now;
+            actions.push(Action::SetTimer { after, token: timer_token(TIMER_RETRY, id) });
         } else {
-            self.route(now, id, out);
+            self.route(now, id, actions);
         }
     }
 
-    /// The one final answer of a call that does not stand.
-    fn finish(&mut self, id: CallId, away: bool, out: &mut Vec<Action>) {
+    /// Gives the one final answer to a call that is not established, and removes the call. A rejection tells
+    /// the caller that it may try again.
+    fn reject_or_fail(&mut self, id: CallId, number_is_busy: bool, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else { return };
-        let class = &self.set.classes[call.new.class];
-        let anywhere = class.repeat_policy == RepeatPolicy::Deduplicated
+        let class = &self.settings.classes[call.request.class];
+        let is_deduplicated_everywhere = class.repeat_policy == RepeatPolicy::Deduplicated
             && class.deduplication_scope == DeduplicationScope::AllExchanges;
-        let may_refuse =
-            class.repeat_policy == RepeatPolicy::Idempotent || call.may_have_run.is_none() || anywhere;
-        // An attempt that is still out may yet run.
-        if may_refuse && !matches!(call.state, State::Out { .. }) {
-            let most = if self.set.may_send_back_off { self.set.max_back_off } else { 0 };
-            let back_off =
-                if away { most } else { most.min((class.set_up_target as f64 * BACK_OFF) as Micros) };
-            out.push(Action::Reject { call: id, back_off });
+        let may_be_repeated = class.repeat_policy == RepeatPolicy::Idempotent
+            || call.maybe_executed.is_none()
+            || is_deduplicated_everywhere;
+        // An attempt in progress may still be executed.
+        let in_progress = matches!(call.state, CallState::Attempting { .. });
+        if may_be_repeated && !in_progress {
+            let max_back_off = if self.settings.may_send_back_off { self.settings.max_back_off } else { 0 };
+            let back_off = if number_is_busy {
+                max_back_off
+            } else {
+                max_back_off.min((class.set_up_target as f64 * BACK_OFF_TARGET_SHARE) as Micros)
+            };
+            actions.push(Action::Reject { call: id, back_off });
         } else {
-            out.push(Action::Fail(id));
+            actions.push(Action::Fail(id));
         }
-        self.forget(id);
+        self.remove_call(id);
     }
 
-    fn forget(&mut self, id: CallId) {
+    fn remove_call(&mut self, id: CallId) {
         let Some(call) = self.calls.remove(&id) else { return };
-        if call.state != State::Standing && !call.new.transit {
-            self.refused.insert(call.new.called_number, call.arrived);
+        if call.state != CallState::Established && !call.request.transit {
+            self.unsuccessful_numbers.insert(call.request.called_number, call.first_tried_at);
         }
         match call.state {
-            State::Out { exchange, .. } => self.no_longer_out(id, exchange),
-            State::Held => {
-                self.fars.values_mut().for_each(|f| f.loops.held.retain(|h| *h != id));
-                self.home.held.retain(|h| *h != id);
+            CallState::Attempting { switch, .. } => self.remove_pending(id, switch),
+            CallState::Held => {
+                for switch in self.switches.values_mut() {
+                    switch.overload.hold.retain(|held| *held != id);
+                }
+                self.own_processor.hold.retain(|held| *held != id);
             }
             _ => {}
         }
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -1,118 +1,121 @@
-//! The clauses of the mechanism against values worked out by hand.
+//! Checks the parts of the overload control against values worked out by hand.
 
 use super::*;
 
-const T: Micros = 100 * SECOND;
+const NOW: Micros = 100 * SECOND;
 
-fn close(a: f64, b: f64) {
-    assert!((a - b).abs() < 1e-6, "{a} is not {b}");
+fn assert_close(actual: f64, expected: f64) {
+    assert!((actual - expected).abs() < 1e-6, "{actual} is not {expected}");
 }
 
-/// Loops at traffic of ten calls in three seconds and more.
-fn busy() -> Loops {
-    let mut l = Loops::default();
-    l.fit(10.0);
-    l
+/// An overload control with enough traffic for the shortest lifetime of samples and all the required ones.
+fn with_traffic() -> OverloadControl {
+    let mut control = OverloadControl::default();
+    control.adapt_to_traffic(10.0);
+    control
 }
 
-fn filled(delay: Micros) -> Loops {
-    let mut l = busy();
-    (0..10).for_each(|_| l.sample(T, delay));
-    l
+/// An overload control with ten samples of one delay.
+fn with_samples(delay: Micros) -> OverloadControl {
+    let mut control = with_traffic();
+    (0..10).for_each(|_| control.add_sample(NOW, delay));
+    control
 }
 
 #[test]
-fn pressure_is_one_less_d0_over_d_and_nought_at_d0() {
-    let mut l = filled(100 * MS);
-    close(l.measure(T, &[], 0.5, SECOND), 0.0);
-    (0..10).for_each(|_| l.sample(T, 400 * MS));
-    close(l.measure(T, &[], 0.5, SECOND), 0.75);
-    // A quicker delay than d0 floors at nought and becomes d0.
-    (0..10).for_each(|_| l.sample(T, 50 * MS));
-    close(l.measure(T, &[], 0.5, SECOND), 0.0);
-    assert_eq!(l.quiet(), Some(50 * MS));
-    // d0 is forgotten after a minute.
-    (0..10).for_each(|_| l.sample(T + 61 * SECOND, 200 * MS));
-    l.measure(T + 61 * SECOND, &[], 0.5, SECOND);
-    assert_eq!(l.quiet(), Some(200 * MS));
+fn pressure_is_one_minus_base_delay_over_delay_and_zero_at_the_base_delay() {
+    let mut control = with_samples(100 * MS);
+    assert_close(control.measure_pressure(NOW, &[], MEDIAN, SECOND), 0.0);
+    (0..10).for_each(|_| control.add_sample(NOW, 400 * MS));
+    assert_close(control.measure_pressure(NOW, &[], MEDIAN, SECOND), 0.75);
+    // A delay below the base delay gives a pressure of 0 and becomes the base delay.
+    (0..10).for_each(|_| control.add_sample(NOW, 50 * MS));
+    assert_close(control.measure_pressure(NOW, &[], MEDIAN, SECOND), 0.0);
+    assert_eq!(control.base_delay(), Some(50 * MS));
+    // After a minute the base delay has expired.
+    (0..10).for_each(|_| control.add_sample(NOW + 61 * SECOND, 200 * MS));
+    control.measure_pressure(NOW + 61 * SECOND, &[], MEDIAN, SECOND);
+    assert_eq!(control.base_delay(), Some(200 * MS));
 }
 
 #[test]
-fn too_few_or_old_samples_say_nothing_and_endless_ones_fill_the_pressure() {
-    let mut l = busy();
-    l.sample(T, 900 * MS);
-    l.sample(T, 900 * MS);
-    close(l.measure(T, &[], 0.5, 100 * MS), 0.0);
-    l.sample(T, 900 * MS);
-    close(l.measure(T, &[], 0.5, 100 * MS), 1.0 - 1.0 / 9.0);
-    close(l.measure(T + 4 * SECOND, &[], 0.5, 100 * MS), 0.0);
-    let mut l = filled(ENDLESS);
-    assert!(l.measure(T, &[], 0.5, 100 * MS) > 0.999);
+fn too_few_or_old_samples_give_no_pressure_and_infinite_delays_give_full_pressure() {
+    let mut control = with_traffic();
+    control.add_sample(NOW, 900 * MS);
+    control.add_sample(NOW, 900 * MS);
+    assert_close(control.measure_pressure(NOW, &[], MEDIAN, 100 * MS), 0.0);
+    control.add_sample(NOW, 900 * MS);
+    assert_close(control.measure_pressure(NOW, &[], MEDIAN, 100 * MS), 1.0 - 1.0 / 9.0);
+    assert_close(control.measure_pressure(NOW + 4 * SECOND, &[], MEDIAN, 100 * MS), 0.0);
+    let mut control = with_samples(INFINITE_DELAY);
+    assert!(control.measure_pressure(NOW, &[], MEDIAN, 100 * MS) > 0.999);
 }
 
 #[test]
-fn the_filter_and_one_pi_step_match_the_formulas() {
-    let mut l = Loops { fresh: T, pressure: 0.9, ..Loops::default() };
-    l.step(T, 1.0);
-    // 0.9 + 0.1 (1 - e^-0.2), then 5 e + 5 e 0.02.
+fn the_pressure_filter_and_one_period_of_the_reject_ratio_match_the_formulas() {
+    let mut control = OverloadControl { last_evidence_at: NOW, pressure: 0.9, ..OverloadControl::default() };
+    control.run_control_period(NOW, 1.0);
+    // The filter moves the pressure by 1 - e^-0.2 of its distance; the ratio is 5 e + 5 e 0.02.
     let pressure = 0.9 + 0.1 * 0.181_269_246_9;
-    close(l.pressure, pressure);
-    let error = pressure - TARGET;
-    close(l.integral, 5.0 * error * 0.02);
-    close(l.ratio, (5.0 * error + 5.0 * error * 0.02).min(0.9));
+    assert_close(control.pressure, pressure);
+    let error = pressure - TARGET_PRESSURE;
+    assert_close(control.ratio_integral, 5.0 * error * 0.02);
+    assert_close(control.reject_ratio, (5.0 * error + 5.0 * error * 0.02).min(0.9));
 }
 
 #[test]
-fn the_integral_winds_up_at_neither_end_and_the_ratio_is_capped() {
-    let mut l = Loops { pressure: 1.0, ..Loops::default() };
-    for i in 0..500 {
-        l.fresh = T + i * PERIOD;
-        l.step(l.fresh, 1.0);
+fn the_integral_does_not_wind_up_at_either_end_and_the_reject_ratio_is_limited() {
+    let mut control = OverloadControl { pressure: 1.0, ..OverloadControl::default() };
+    for period in 0..500 {
+        control.last_evidence_at = NOW + period * CONTROL_PERIOD;
+        control.run_control_period(control.last_evidence_at, 1.0);
     }
-    close(l.integral, RATIO_CAP);
-    close(l.ratio, RATIO_CAP);
-    for i in 500..1000 {
-        l.fresh = T + i * PERIOD;
-        l.step(l.fresh, 0.0);
+    assert_close(control.ratio_integral, MAX_REJECT_RATIO);
+    assert_close(control.reject_ratio, MAX_REJECT_RATIO);
+    for period in 500..1000 {
+        control.last_evidence_at = NOW + period * CONTROL_PERIOD;
+        control.run_control_period(control.last_evidence_at, 0.0);
     }
-    close(l.integral, 0.0);
-    close(l.ratio, 0.0);
+    assert_close(control.ratio_integral, 0.0);
+    assert_close(control.reject_ratio, 0.0);
 }
 
 #[test]
-fn without_fresh_samples_pressure_decays_over_two_seconds() {
-    let mut l = Loops { fresh: T, pressure: 0.5, ..Loops::default() };
-    l.step(T + SECOND, 1.0);
-    close(l.pressure, 0.5);
-    l.step(T + 2 * SECOND, 1.0);
-    close(l.pressure, 0.5 - 0.5 * 0.181_269_246_9);
+fn without_new_samples_the_pressure_decays_over_two_seconds() {
+    let mut control = OverloadControl { last_evidence_at: NOW, pressure: 0.5, ..OverloadControl::default() };
+    control.run_control_period(NOW + SECOND, 1.0);
+    assert_close(control.pressure, 0.5);
+    control.run_control_period(NOW + 2 * SECOND, 1.0);
+    assert_close(control.pressure, 0.5 - 0.5 * 0.181_269_246_9);
 }
 
 #[test]
-fn the_hold_drains_toward_its_target() {
-    let mut l = Loops::default();
-    l.held.push_back(CallId(1));
-    l.step(T, 0.0);
-    // Nothing offered: e = 1, integral 130 x 0.02 = 2.6, drain 22.6 a second, 0.452 calls a period.
-    close(l.hold_integral, 2.6);
-    close(l.credit, 0.452);
-    l.ratio = 0.5;
-    let mut due = vec![];
-    l.drained(&mut due);
-    assert!(due.is_empty(), "less than one call's credit");
-    l.step(T + PERIOD, 0.0);
-    l.step(T + 2 * PERIOD, 0.0);
-    l.ratio = 0.5;
-    l.drained(&mut due);
-    assert_eq!(due, vec![CallId(1)]);
+fn the_hold_is_drained_at_the_rate_of_its_pi_loop() {
+    let mut control = OverloadControl::default();
+    control.hold.push_back(CallId(1));
+    control.run_control_period(NOW, 0.0);
+    // With no calls admitted lately e = 1: the integral is 130 x 0.02 = 2.6, and the drain rate of 22.6 per
+    // second is 0.452 calls in a period.
+    assert_close(control.drain_integral, 2.6);
+    assert_close(control.drain_credit, 0.452);
+    control.reject_ratio = 0.5;
+    let mut drained = vec![];
+    control.drain_hold(&mut drained);
+    assert!(drained.is_empty(), "less than one call's credit");
+    control.run_control_period(NOW + CONTROL_PERIOD, 0.0);
+    control.run_control_period(NOW + 2 * CONTROL_PERIOD, 0.0);
+    control.reject_ratio = 0.5;
+    control.drain_hold(&mut drained);
+    assert_eq!(drained, vec![CallId(1)]);
 }
 
 #[test]
-fn one_sample_speaks_where_a_call_comes_every_ten_seconds_and_for_as_long() {
-    // Danger: with many exchanges three samples in three seconds never come, and pressure stays nought.
-    let mut l = Loops::default();
-    l.fit(0.1);
-    l.sample(T, 900 * MS);
-    close(l.measure(T + 8 * SECOND, &[], 0.5, 100 * MS), 1.0 - 1.0 / 9.0);
-    close(l.measure(T + 13 * SECOND, &[], 0.5, 100 * MS), 0.0);
+fn with_a_call_every_ten_seconds_one_sample_gives_a_pressure_and_is_used_for_longer() {
+    // In a mesh of many exchanges there are never three samples within three seconds: with fixed limits the
+    // pressure would stay 0.
+    let mut control = OverloadControl::default();
+    control.adapt_to_traffic(0.1);
+    control.add_sample(NOW, 900 * MS);
+    assert_close(control.measure_pressure(NOW + 8 * SECOND, &[], MEDIAN, 100 * MS), 1.0 - 1.0 / 9.0);
+    assert_close(control.measure_pressure(NOW + 13 * SECOND, &[], MEDIAN, 100 * MS), 0.0);
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -21,20 +21,20 @@
 pub enum RepeatPolicy {
     /// Attempts may be repeated, and the call rejected, at any time.
     Idempotent,
-    /// Exchanges discard repeated attempts within a [`DeduplicationScope`] and a time window.
+    /// Switches discard repeated attempts within a [`DeduplicationScope`] and a time window.
     Deduplicated,
     /// May be repeated only when every earlier attempt is known not to have been executed.
     AtMostOnce,
 }
 
-/// Which exchanges recognise and discard repeats of a [`RepeatPolicy::Deduplicated`] call.
+/// Which switches recognise and discard repeats of a [`RepeatPolicy::Deduplicated`] call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All exchanges.
+    /// All switches.
     AllExchanges,
-    /// The exchanges in the zone of the first attempt.
+    /// The switches in the zone of the first attempt.
     Zone,
-    /// The exchange of the first attempt, whichever of its processors is asked.
+    /// The switches of the exchange of the first attempt.
     Exchange,
 }
 
@@ -49,7 +49,7 @@
     pub late_value_factor: f64,
     /// Whether attempts may be repeated.
     pub repeat_policy: RepeatPolicy,
-    /// For [`RepeatPolicy::Deduplicated`]: which exchanges discard repeats.
+    /// For [`RepeatPolicy::Deduplicated`]: which switches discard repeats.
     pub deduplication_scope: DeduplicationScope,
     /// For [`RepeatPolicy::Deduplicated`]: for how long after the first attempt they do.
     pub deduplication_window: Micros,
@@ -71,7 +71,7 @@
     pub own_exchange: ExchangeNumber,
     /// Number of gatekeepers in the deployment.
     pub gatekeeper_count: u32,
-    /// The exchanges are pools of operators shared by all gatekeepers; there are no transit calls.
+    /// The exchanges are pools of agents that all gatekeepers share; there are no transit calls.
     pub pool_topology: bool,
     /// Updates of the switch list come only after [`Action::Subscribe`].
     pub must_subscribe: bool,
@@ -96,7 +96,7 @@
     pub may_cancel: bool,
     /// Switches may be probed.
     pub may_probe: bool,
-    /// Cost of a probe, charged per first attempt.
+    /// Cost of a probe per first attempt.
     pub probe_cost: f64,
     /// Rejections may tell callers how long to back off.
     pub may_send_back_off: bool,
@@ -108,9 +108,10 @@
     pub cold_capacity_share: f64,
     /// Time after its start within which a processor is cold.
     pub warm_up_time: Micros,
-    /// A cold processor fails when it is offered more than this multiple of its present capacity ...
+    /// A cold processor fails when it is offered more than this multiple of its present capacity for
+    /// `cold_overload_duration`.
     pub cold_overload_factor: f64,
-    /// ... for this long.
+    /// How long a cold processor bears `cold_overload_factor` before it fails.
     pub cold_overload_duration: Micros,
     /// Far processors report their load.
     pub load_reports_enabled: bool,
@@ -156,7 +157,7 @@
 /// Load of a processor and of the group of circuits towards it; values that were not reported are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Free circuits of the own group, or free operators of the pool.
+    /// Free circuits of the own group, or free agents of the pool.
     pub free_circuits: Option<f64>,
     /// Size of that group or pool.
     pub group_size: Option<f64>,
@@ -200,7 +201,7 @@
 pub enum EndReason {
     /// Nothing further is known.
     Unknown,
-    /// No circuit or operator was free.
+    /// No circuit or agent was free.
     NoCircuit,
     /// The tandem rejected the call.
     RejectedByTandem,
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -135,7 +135,7 @@
         rig.run(ms(150));
         rig.time_out(101);
     }
-    assert!(rig.logs.iter().any(|l| l == "doubted 101"));
+    assert!(rig.logs.iter().any(|l| l == "switch 101 does not answer: trial calls only"));
     let before = rig.sends.iter().filter(|s| s.exchange == 101).count();
     for _ in 0..30 {
         id += 1;
@@ -152,7 +152,7 @@
         let t = rig.trial(101, 1, 5000);
         rig.stands(t, 0, ms(60));
     }
-    assert!(rig.logs.iter().any(|l| l == "trusted 101"));
+    assert!(rig.logs.iter().any(|l| l == "switch 101 answers again"));
 }
 
 #[test]
@@ -169,7 +169,7 @@
             rig.run(ms(150));
             rig.time_out(101);
         }
-        assert!(rig.logs.iter().any(|l| l == "doubted 101"));
+        assert!(rig.logs.iter().any(|l| l == "switch 101 does not answer: trial calls only"));
         let at: Vec<Micros> = rig.sends.iter().filter(|s| s.exchange == 101).map(|s| s.at).collect();
         at.windows(2).map(|w| w[1] - w[0]).max().unwrap()
     };
@@ -189,7 +189,7 @@
         rig.event(Event::SwitchStatus { switch, answered, round_trip, report: LoadReport::default() });
         rig.steady(130..131, ms(60), ms(1800));
         rig.time_out(101);
-        assert_eq!(rig.logs.iter().any(|l| l == "doubted 101"), !alive);
+        assert_eq!(rig.logs.iter().any(|l| l == "switch 101 does not answer: trial calls only"), !alive);
     }
 }
 
@@ -206,7 +206,7 @@
     // A link that breaks again, with nothing heard between, is a processor that is down.
     rig.run(ms(50));
     reset(&mut rig, 5..7);
-    assert!(rig.logs.iter().any(|l| l == "doubted 101"));
+    assert!(rig.logs.iter().any(|l| l == "switch 101 does not answer: trial calls only"));
 }
 
 #[test]
@@ -216,7 +216,7 @@
     rig.steady(1..60, ms(60), ms(100));
     rig.steady(100..160, ms(900), ms(50));
     assert!(rig.refused > 5, "{} refused", rig.refused);
-    assert!(rig.logs.iter().all(|l| !l.starts_with("doubted")));
+    assert!(rig.logs.iter().all(|l| !l.contains("does not answer")));
 }
 
 #[test]
@@ -240,7 +240,7 @@
     };
     calls(&mut rig, true);
     calls(&mut rig, false);
-    assert!(!rig.logs.iter().any(|l| l == "own processor pressed"));
+    assert!(!rig.logs.iter().any(|l| l == "own processor overloaded"));
 }
 
 #[test]
@@ -402,7 +402,9 @@
     rig.run(sec(8));
     let own: Vec<_> = rig.logs.iter().filter(|l| l.starts_with("own")).collect();
     assert!(
-        own.len() >= 2 && own[0] == "own processor pressed" && own[1] == "own processor eased",
+        own.len() >= 2
+            && own[0] == "own processor overloaded"
+            && own[1] == "own processor no longer overloaded",
         "{own:?}"
     );
 }
@@ -478,7 +480,7 @@
             rig.steady(130..131, ms(60), ms(1800));
         }
         rig.time_out(101);
-        assert_eq!(rig.logs.iter().any(|l| l == "doubted 101"), !stalled);
+        assert_eq!(rig.logs.iter().any(|l| l == "switch 101 does not answer: trial calls only"), !stalled);
     }
 }
 
