--- a/src/net/callers.rs
+++ b/src/net/callers.rs
@@ -2,7 +2,7 @@
 
 use super::binary::{self, Message, message_type, parameter_code};
 use super::link::{Connection, ReadStatus};
-use super::{Node, Unread, log};
+use super::{Gatekeeper, PendingRead, log};
 use crate::call::{ConnectionId, SetUp, SetUpError, Tag, TimerEvent, cause};
 use crate::interface::{ExchangeNumber, Micros};
 use calloop::generic::Generic;
@@ -59,7 +59,7 @@
 
 /// All connections from callers.
 pub struct Callers {
-    handle: LoopHandle<'static, Node>,
+    handle: LoopHandle<'static, Gatekeeper>,
     /// Most connections at a time, and most bytes unsent on one.
     most: (usize, usize),
     callers: BTreeMap<ConnectionId, Caller>,
@@ -75,15 +75,15 @@
 impl Callers {
     /// Listens on an address for at most so many connections, each with so many bytes unsent at most.
     pub fn listen(
-        handle: LoopHandle<'static, Node>, at: SocketAddr, most: usize, most_unsent: usize,
+        handle: LoopHandle<'static, Gatekeeper>, at: SocketAddr, most: usize, most_unsent: usize,
     ) -> io::Result<Self> {
         let listener = TcpListener::bind(at)?;
         listener.set_nonblocking(true)?;
         log(&format!("listening on {}", listener.local_addr()?));
         let source = Generic::new(listener, Interest::READ, Mode::Level);
         let _: RegistrationToken = handle
-            .insert_source(source, |_, listener, node| {
-                node.accept(listener);
+            .insert_source(source, |_, listener, gatekeeper| {
+                gatekeeper.accept(listener);
                 Ok(PostAction::Continue)
             })
             .map_err(|e| io::Error::other(e.to_string()))?;
@@ -101,7 +101,9 @@
     fn add(&mut self, now: Micros, stream: TcpStream) {
         self.last += 1;
         let origin = ConnectionId(self.last);
-        match Connection::new(&self.handle, stream, self.most.1, move |node| node.caller_ready(origin)) {
+        match Connection::new(&self.handle, stream, self.most.1, move |gatekeeper| {
+            gatekeeper.caller_ready(origin)
+        }) {
             Ok(link) => {
                 let (ended, trust, part, strikes, strange) = (false, Trust::None, None, 0, 0);
                 let caller = Caller { link, ended, trust, used: now, part, strikes, strange };
@@ -255,7 +257,7 @@
     }
 }
 
-impl Node {
+impl Gatekeeper {
     fn accept(&mut self, listener: &TcpListener) {
         let now = self.clock.now();
         for _ in 0..ACCEPTS {
@@ -336,7 +338,7 @@
         match progress {
             ReadStatus::WouldBlock => {}
             // One chunk at a time, so that a busy caller does not keep the others waiting.
-            ReadStatus::MorePossible => self.unread.push(Unread::Caller(origin)),
+            ReadStatus::MorePossible => self.pending_reads.push(PendingRead::Caller(origin)),
             ReadStatus::Failed => self.close_caller(origin),
             ReadStatus::EndOfStream => match self.call_control.unanswered_set_up(origin) {
                 // A caller that only finished sending still reads. Guards against one that is gone for good:
--- a/src/net/feed.rs
+++ b/src/net/feed.rs
@@ -1,9 +1,9 @@
-//! The control feed: the numbered events that change the list of carrier switches.
+//! The control feed: a connection on which numbered events arrive that change the list of carrier switches.
 
 use super::lines;
 use super::link::{Connection, DecodeResult, ReadStatus};
 use super::switches::Host;
-use super::{Node, Unread, log};
+use super::{Gatekeeper, PendingRead, log};
 use crate::call::TimerEvent;
 use crate::clock::Clock;
 use crate::interface::{ExchangeNumber, Health, Micros, SwitchEntry, SwitchListUpdate};
@@ -11,49 +11,54 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// A connection that is not up by then is given up.
-const CONNECT: Micros = 1_000_000;
-/// The feed says something each second: one that has been silent for so long is connected to anew.
-const SILENCE: Micros = 2_500_000;
-/// Wait before it is connected to again.
-const RETRY: Micros = 200_000;
-/// A line of the feed, or of the configuration's `known`.
+/// Time within which a connection must be established.
+const CONNECT_TIMEOUT: Micros = 1_000_000;
+/// The feed sends a line each second; a connection that has been silent for this long is replaced.
+const SILENCE_TIMEOUT: Micros = 2_500_000;
+/// Delay before the next connection attempt.
+const RECONNECT_DELAY: Micros = 200_000;
+
+/// An event of the feed: one of its lines, or one of the events in the configuration's `known`.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Event {
-    /// Its number.
-    pub n: u64,
-    /// What it changes in the list.
-    #[serde(default)]
-    pub members: Option<Members>,
+pub struct FeedEvent {
+    /// Number of the event.
+    #[serde(rename = "n")]
+    pub number: u64,
+    /// The change to the switch list; `None` if there is none.
+    #[serde(default, rename = "members")]
+    pub list_change: Option<ListChange>,
 }
 
-/// A change to the list.
+/// A change to the switch list.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Members {
-    /// These are all there are.
-    #[serde(default)]
-    pub whole: bool,
-    /// The switches. Each is read by itself, so that one that can't be read does not keep the others out.
-    #[serde(default)]
-    pub hosts: Vec<serde_json::Value>,
+pub struct ListChange {
+    /// The entries are the whole list; switches without an entry are gone.
+    #[serde(default, rename = "whole")]
+    pub is_full: bool,
+    /// The entries. Each is decoded by itself, so that an invalid one does not affect the others.
+    #[serde(default, rename = "hosts")]
+    pub entries: Vec<serde_json::Value>,
 }
 
-/// A switch in the list.
+/// An entry of the switch list.
 #[derive(Deserialize)]
-struct Entry {
-    host: String,
-    #[serde(default)]
-    dial: String,
-    #[serde(default)]
-    site: String,
-    block: ExchangeNumber,
-    health: Word,
-    #[serde(default)]
-    born_ms: f64,
+struct ListEntry {
+    #[serde(rename = "host")]
+    name: String,
+    #[serde(default, rename = "dial")]
+    address: String,
+    #[serde(default, rename = "site")]
+    zone: String,
+    #[serde(rename = "block")]
+    exchange_number: ExchangeNumber,
+    health: EntryHealth,
+    /// Unix time of the switch's last start, in milliseconds; 0 if it is unknown.
+    #[serde(default, rename = "born_ms")]
+    started_at_unix_ms: f64,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
-enum Word {
+enum EntryHealth {
     #[serde(rename = "SERVING")]
     Serving,
     #[serde(rename = "DRAINING")]
@@ -62,112 +67,133 @@
     Deleted,
 }
 
-impl Entry {
-    fn host(&self, clock: &Clock) -> Host {
+impl ListEntry {
+    fn to_host(&self, clock: &Clock) -> Host {
         Host {
-            name: self.host.clone(),
-            address: self.dial.parse().ok(),
-            number: self.block,
+            name: self.name.clone(),
+            address: self.address.parse().ok(),
+            number: self.exchange_number,
             health: match self.health {
-                Word::Serving => Health::InService,
-                Word::Draining => Health::Draining,
-                Word::Deleted => Health::Gone,
+                EntryHealth::Serving => Health::InService,
+                EntryHealth::Draining => Health::Draining,
+                EntryHealth::Deleted => Health::Gone,
             },
-            up_since: clock.from_unix_ms(self.born_ms as i64),
+            up_since: clock.from_unix_ms(self.started_at_unix_ms as i64),
         }
     }
 }
 
-/// What the configuration holds of the feed: the events up to the start.
+/// The part of the configuration that contains the events up to the start of the program.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Known {
-    /// The number of the last one.
-    #[serde(default)]
-    pub n: u64,
-    /// The events.
+pub struct KnownEvents {
+    /// Number of the last event.
+    #[serde(default, rename = "n")]
+    pub last_event: u64,
+    /// The events, which the feed has sent before the start.
     #[serde(default)]
-    pub events: Vec<Event>,
+    pub events: Vec<FeedEvent>,
 }
 
 /// The connection to the control feed.
-pub struct Feed {
-    handle: LoopHandle<'static, Node>,
+pub struct ControlFeed {
+    handle: LoopHandle<'static, Gatekeeper>,
     address: Option<SocketAddr>,
-    link: Option<Connection>,
-    /// It is up, and `SUB` has been sent.
-    asked: bool,
-    /// The number of the last event.
-    last: u64,
-    /// The connection is given up then, or tried again if there is none.
-    due: Micros,
-    /// An event was missed after this number, and all since has been asked for once.
-    gap: Option<u64>,
-    /// Most bytes of a line: a whole list may be longer than a call's message.
-    most: usize,
+    connection: Option<Connection>,
+    /// The connection is established, and `SUB` has been put into its output buffer.
+    subscribed: bool,
+    /// Number of the last event.
+    last_event: u64,
+    /// When the connection times out or, if there is none, the next attempt is made.
+    timer_deadline: Micros,
+    /// Events after this number were missing and have been requested by a new `SUB`, which is done only once.
+    gap_after: Option<u64>,
+    /// Most bytes of a line, which can hold a full list and thus be longer than a call's message. Also the
+    /// limit on unsent output.
+    max_line_bytes: usize,
 }
 
-impl Feed {
-    /// A feed that is not connected yet.
-    pub fn new(handle: LoopHandle<'static, Node>, address: Option<SocketAddr>, most: usize) -> Self {
-        Feed { handle, address, link: None, asked: false, last: 0, due: 0, gap: None, most }
+impl ControlFeed {
+    /// Creates a feed that is not connected yet.
+    pub fn new(
+        handle: LoopHandle<'static, Gatekeeper>, address: Option<SocketAddr>, max_line_bytes: usize,
+    ) -> Self {
+        ControlFeed {
+            handle,
+            address,
+            connection: None,
+            subscribed: false,
+            last_event: 0,
+            timer_deadline: 0,
+            gap_after: None,
+            max_line_bytes,
+        }
     }
 
-    /// Writes what waits.
+    /// Sends the output that is waiting. Returns false if the connection has failed.
     pub fn flush(&mut self) -> bool {
-        self.link.as_mut().is_none_or(|l| l.flush().is_ok())
+        self.connection.as_mut().is_none_or(|connection| connection.flush().is_ok())
     }
 }
 
-enum Line {
-    Last(u64),
-    Event(Event),
+enum FeedLine {
+    /// The number of the last event, without the event.
+    LastEventNumber(u64),
+    Event(FeedEvent),
 }
 
-/// A number and nothing else. Guards against taking it for the event of that number, which would then be skipped.
+/// A line that is an object with nothing but a number. It must not be taken for the event of that number,
+/// which would then be skipped as already handled; an event has other fields, which are rejected here.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Alone {
-    n: u64,
+struct NumberOnly {
+    #[serde(rename = "n")]
+    number: u64,
 }
 
-fn decode(bytes: &[u8], most: usize) -> DecodeResult<Line> {
-    let Some((line, taken)) = lines::first_line(bytes, most)? else { return Ok(None) };
-    let text = std::str::from_utf8(line).map_err(|_| "a line that is no text")?.trim();
-    let alone = text.parse().or_else(|_| serde_json::from_str(text).map(|alone: Alone| alone.n));
-    let line = match alone {
-        Ok(last) => Line::Last(last),
-        Err(_) => Line::Event(serde_json::from_str(text).map_err(|_| "a line that holds no event")?),
+fn decode(bytes: &[u8], max_line_bytes: usize) -> DecodeResult<FeedLine> {
+    let Some((line, size)) = lines::first_line(bytes, max_line_bytes)? else { return Ok(None) };
+    let text = std::str::from_utf8(line).map_err(|_| "a line that is not valid UTF-8")?.trim();
+    let number_only =
+        text.parse().or_else(|_| serde_json::from_str(text).map(|line: NumberOnly| line.number));
+    let line = match number_only {
+        Ok(number) => FeedLine::LastEventNumber(number),
+        Err(_) => {
+            FeedLine::Event(serde_json::from_str(text).map_err(|_| "a line that is not a valid event")?)
+        }
     };
-    Ok(Some((line, taken)))
+    Ok(Some((line, size)))
 }
 
-impl Node {
-    /// Takes over the events that were known at the start, and connects.
-    pub(super) fn start_feed(&mut self, known: Known) {
-        let last = known.n;
-        self.take_known(known);
-        self.feed.last = self.feed.last.max(last);
+impl Gatekeeper {
+    /// Applies the events that are known at the start, and connects.
+    pub(super) fn start_feed(&mut self, known_events: KnownEvents) {
+        let last_event = known_events.last_event;
+        self.apply_known_events(known_events);
+        self.feed.last_event = self.feed.last_event.max(last_event);
         self.connect_feed();
     }
 
-    /// Takes over what a new configuration says: the events that are new here, and where the feed is now.
-    pub(super) fn move_feed(&mut self, address: Option<SocketAddr>, known: Known) {
-        self.take_known(known);
+    /// Applies the new events of a reloaded configuration, and connects to the feed's new address if it has
+    /// changed.
+    pub(super) fn reconfigure_feed(&mut self, address: Option<SocketAddr>, known_events: KnownEvents) {
+        self.apply_known_events(known_events);
         if self.feed.address != address {
-            // The old one tells nothing further: the new one is asked at once for all since the last number.
-            (self.feed.address, self.feed.gap) = (address, None);
-            self.close_feed("has moved", 0);
+            // The new feed is asked at once for all events after the last one that the old feed sent.
+            self.feed.address = address;
+            self.feed.gap_after = None;
+            self.close_feed("address changed", 0);
         }
     }
 
-    /// Each number counts once, and none is passed over: what is missing here the feed will tell.
-    fn take_known(&mut self, known: Known) {
-        for event in known.events {
-            let whole = event.members.as_ref().is_some_and(|m| m.whole);
-            let next = event.n == self.feed.last.saturating_add(1);
-            if event.n > self.feed.last && (next || whole) {
-                self.feed.last = event.n;
-                self.apply(event);
+    /// Applies each new event once. Events after a gap in the numbers are skipped unless they hold a full
+    /// list: the feed sends all that are missing.
+    fn apply_known_events(&mut self, known_events: KnownEvents) {
+        for event in known_events.events {
+            let is_full = event.list_change.as_ref().is_some_and(|change| change.is_full);
+            let is_next = event.number == self.feed.last_event.saturating_add(1);
+            if event.number > self.feed.last_event && (is_next || is_full) {
+                self.feed.last_event = event.number;
+                self.apply_feed_event(event);
             }
         }
     }
@@ -175,136 +201,153 @@
     fn connect_feed(&mut self) {
         let now = self.clock.now();
         let Some(address) = self.feed.address else { return };
-        match Connection::connect(&self.feed.handle, address, self.feed.most, Node::feed_ready) {
-            Ok(link) => self.feed.link = Some(link),
-            Err(e) => log(&format!("the control feed cannot be reached: {e}")),
+        let max_unsent_bytes = self.feed.max_line_bytes;
+        match Connection::connect(
+            &self.feed.handle,
+            address,
+            max_unsent_bytes,
+            Gatekeeper::handle_feed_readiness,
+        ) {
+            Ok(connection) => self.feed.connection = Some(connection),
+            Err(error) => log(&format!("control feed: cannot connect: {error}")),
         }
-        let wait = if self.feed.link.is_some() { CONNECT } else { RETRY };
-        self.set_feed_due(now + wait);
+        let delay = if self.feed.connection.is_some() { CONNECT_TIMEOUT } else { RECONNECT_DELAY };
+        self.set_feed_timer(now + delay);
     }
 
-    fn set_feed_due(&mut self, due: Micros) {
-        self.feed.due = due;
-        self.call_control.timers.push(due, TimerEvent::ControlFeed);
+    fn set_feed_timer(&mut self, deadline: Micros) {
+        self.feed.timer_deadline = deadline;
+        self.call_control.timers.push(deadline, TimerEvent::ControlFeed);
     }
 
-    /// The one place where the connection is given back.
-    pub(super) fn close_feed(&mut self, why: &str, wait: Micros) {
-        log(&format!("the control feed {why} after event {}: connecting again", self.feed.last));
-        if let Some(link) = self.feed.link.take() {
-            link.close(&self.feed.handle);
+    /// Closes the connection, if there is one, and sets the timer for the next attempt. All connections to
+    /// the feed are closed here.
+    pub(super) fn close_feed(&mut self, reason: &str, reconnect_delay: Micros) {
+        log(&format!("control feed: {reason}; reconnecting after event {}", self.feed.last_event));
+        if let Some(connection) = self.feed.connection.take() {
+            connection.close(&self.feed.handle);
         }
-        self.feed.asked = false;
+        self.feed.subscribed = false;
         let now = self.clock.now();
-        self.set_feed_due(now + wait);
+        self.set_feed_timer(now + reconnect_delay);
     }
 
-    /// A time-out of the connection, or the time to try again.
-    pub(super) fn feed_due(&mut self) {
+    /// Handles a time-out of the connection, or makes the next attempt to connect.
+    pub(super) fn handle_feed_timer(&mut self) {
         let now = self.clock.now();
-        if now < self.feed.due {
+        // The timer may have been set to a later time since.
+        if now < self.feed.timer_deadline {
             return;
         }
-        match (&self.feed.link, self.feed.asked) {
+        match (&self.feed.connection, self.feed.subscribed) {
             (None, _) => self.connect_feed(),
-            (Some(_), true) => self.close_feed("was silent", 0),
-            (Some(_), false) => self.close_feed("could not be reached", 0),
+            (Some(_), true) => self.close_feed("silent for too long", 0),
+            (Some(_), false) => self.close_feed("connecting timed out", 0),
         }
     }
 
-    pub(super) fn feed_ready(&mut self) {
+    /// Handles a connection that is readable or writable.
+    pub(super) fn handle_feed_readiness(&mut self) {
         let now = self.clock.now();
-        let Some(link) = &mut self.feed.link else { return };
-        if !self.feed.asked {
-            match link.check_connected() {
+        let Some(connection) = &mut self.feed.connection else { return };
+        if !self.feed.subscribed {
+            match connection.check_connected() {
                 Ok(false) => return,
                 Ok(true) => {
-                    self.feed.asked = true;
-                    let ask = format!("SUB {}\n", self.feed.last);
-                    link.output_buffer().extend_from_slice(ask.as_bytes());
-                    self.set_feed_due(now + SILENCE);
+                    self.feed.subscribed = true;
+                    let request = format!("SUB {}\n", self.feed.last_event);
+                    connection.output_buffer().extend_from_slice(request.as_bytes());
+                    self.set_feed_timer(now + SILENCE_TIMEOUT);
+                }
+                Err(error) => {
+                    return self.close_feed(&format!("cannot connect: {error}"), RECONNECT_DELAY);
                 }
-                Err(e) => return self.close_feed(&format!("could not be reached: {e}"), RETRY),
             }
         }
-        let Some(link) = &mut self.feed.link else { return };
-        let progress = link.read();
-        let most = self.feed.most;
-        let (lines, result) = link.decode_messages(|bytes| decode(bytes, most));
+        let Some(connection) = &mut self.feed.connection else { return };
+        let status = connection.read();
+        let max_line_bytes = self.feed.max_line_bytes;
+        let (lines, result) = connection.decode_messages(|bytes| decode(bytes, max_line_bytes));
         if !lines.is_empty() {
-            self.set_feed_due(now + SILENCE);
+            self.set_feed_timer(now + SILENCE_TIMEOUT);
         }
         for line in lines {
-            if !self.heard_feed(line) {
-                return self.close_feed("has left out events", 0);
+            if !self.handle_feed_line(line) {
+                return self.close_feed("events are missing", 0);
             }
         }
-        if let Err(what) = result {
-            return self.close_feed(&format!("sent {what}"), RETRY);
+        if let Err(error) = result {
+            return self.close_feed(&format!("received {error}"), RECONNECT_DELAY);
         }
-        match progress {
+        match status {
             ReadStatus::WouldBlock => {}
-            ReadStatus::MorePossible => self.unread.push(Unread::Feed),
-            ReadStatus::EndOfStream | ReadStatus::Failed => self.close_feed("closed the connection", RETRY),
+            ReadStatus::MorePossible => self.pending_reads.push(PendingRead::Feed),
+            ReadStatus::EndOfStream | ReadStatus::Failed => {
+                self.close_feed("connection closed or reset", RECONNECT_DELAY);
+            }
         }
     }
 
-    /// Takes a line in; false if events before it are missing and must be asked for.
-    fn heard_feed(&mut self, line: Line) -> bool {
-        let (last, gap) = (self.feed.last, self.feed.gap);
+    /// Handles a line. Returns false if earlier events are missing and must be requested.
+    fn handle_feed_line(&mut self, line: FeedLine) -> bool {
+        let last_event = self.feed.last_event;
+        let gap_after = self.feed.gap_after;
         let event = match line {
-            Line::Last(n) if n <= last => return true,
-            Line::Last(_) => {
-                // Later events follow SUB before the first such line: what it names should have come.
-                self.feed.gap = Some(last);
-                return gap == Some(last);
+            FeedLine::LastEventNumber(number) if number <= last_event => return true,
+            FeedLine::LastEventNumber(_) => {
+                // After SUB the feed sends the later events before its first number line. So the event with
+                // this number should have come already.
+                self.feed.gap_after = Some(last_event);
+                return gap_after == Some(last_event);
             }
-            Line::Event(event) if event.n <= last => return true,
-            Line::Event(event) => event,
+            FeedLine::Event(event) if event.number <= last_event => return true,
+            FeedLine::Event(event) => event,
         };
-        let whole = event.members.as_ref().is_some_and(|m| m.whole);
-        if event.n > last + 1 && !whole && gap != Some(last) {
-            self.feed.gap = Some(last);
+        let is_full = event.list_change.as_ref().is_some_and(|change| change.is_full);
+        if event.number > last_event + 1 && !is_full && gap_after != Some(last_event) {
+            self.feed.gap_after = Some(last_event);
             return false;
         }
-        self.feed.last = event.n;
-        self.apply(event);
+        self.feed.last_event = event.number;
+        self.apply_feed_event(event);
         true
     }
 
-    fn apply(&mut self, event: Event) {
-        let Some(members) = event.members else { return };
-        let mut listed = Vec::with_capacity(members.hosts.len());
-        let mut names = Vec::new();
-        for value in members.hosts {
-            let entry = match Entry::deserialize(&value) {
+    fn apply_feed_event(&mut self, event: FeedEvent) {
+        let Some(change) = event.list_change else { return };
+        let mut switch_entries = Vec::with_capacity(change.entries.len());
+        let mut listed_names = Vec::new();
+        for value in change.entries {
+            let entry = match ListEntry::deserialize(&value) {
                 Ok(entry) => entry,
-                Err(e) => {
-                    log(&format!("event {}: an entry is left out: {e}", event.n));
+                Err(error) => {
+                    log(&format!("control feed: event {}: invalid entry skipped: {error}", event.number));
                     continue;
                 }
             };
-            let host = entry.host(&self.clock);
-            let (zone, exchange_number) = (self.call_control.zone_index(&entry.site), host.number);
-            let (health, up_since) = (host.health, host.up_since);
+            let host = entry.to_host(&self.clock);
+            let zone = self.call_control.zone_index(&entry.zone);
+            let exchange_number = host.number;
+            let health = host.health;
+            let up_since = host.up_since;
             let switch = self.switches.id(&host.name, health);
-            listed.extend(switch.map(|switch| SwitchEntry {
+            switch_entries.extend(switch.map(|switch| SwitchEntry {
                 switch,
                 zone,
                 exchange_number,
                 health,
                 up_since,
             }));
-            names.push(host.name.clone());
+            listed_names.push(host.name.clone());
             self.host(host);
         }
-        if members.whole {
-            self.keep_hosts(&names);
+        if change.is_full {
+            self.keep_hosts(&listed_names);
         }
-        self.call_control.handle_switch_list(if members.whole {
-            SwitchListUpdate::Full(listed)
+        self.call_control.handle_switch_list(if change.is_full {
+            SwitchListUpdate::Full(switch_entries)
         } else {
-            SwitchListUpdate::Changes(listed)
+            SwitchListUpdate::Changes(switch_entries)
         });
     }
 }
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -1,6 +1,6 @@
 //! A TCP connection: its non-blocking socket, its registration with the event loop and its buffers.
 
-use super::Node;
+use super::Gatekeeper;
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use socket2::{Domain, Protocol, SockAddr, Socket, Type};
@@ -43,8 +43,8 @@
     /// Registers a socket with the event loop. The callback runs when there is something to read or room to
     /// write.
     pub fn new(
-        handle: &LoopHandle<'static, Node>, stream: TcpStream, max_unsent_bytes: usize,
-        callback: impl Fn(&mut Node) + 'static,
+        handle: &LoopHandle<'static, Gatekeeper>, stream: TcpStream, max_unsent_bytes: usize,
+        callback: impl Fn(&mut Gatekeeper) + 'static,
     ) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
@@ -53,8 +53,8 @@
         // sending causes a single wake-up.
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
         let registration = handle
-            .insert_source(source, move |_, _, node| {
-                callback(node);
+            .insert_source(source, move |_, _, gatekeeper| {
+                callback(gatekeeper);
                 Ok(PostAction::Continue)
             })
             .map_err(|error| io::Error::other(error.to_string()))?;
@@ -63,8 +63,8 @@
 
     /// Starts to connect without blocking; [`Connection::check_connected`] gives the result.
     pub fn connect(
-        handle: &LoopHandle<'static, Node>, address: SocketAddr, max_unsent_bytes: usize,
-        callback: impl Fn(&mut Node) + 'static,
+        handle: &LoopHandle<'static, Gatekeeper>, address: SocketAddr, max_unsent_bytes: usize,
+        callback: impl Fn(&mut Gatekeeper) + 'static,
     ) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
@@ -172,7 +172,7 @@
     }
 
     /// Removes the connection from the event loop and closes its socket. Unsent output is discarded.
-    pub fn close(self, handle: &LoopHandle<'static, Node>) {
+    pub fn close(self, handle: &LoopHandle<'static, Gatekeeper>) {
         handle.remove(self.registration);
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The gatekeeper on sockets: one loop on one thread, and the connections that hang in it.
+//! The gatekeeper on sockets: a single-threaded event loop and the connections registered with it.
 
 pub mod binary;
 pub mod callers;
@@ -15,7 +15,7 @@
 use calloop::signals::{Signal, Signals};
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{Dispatcher, EventLoop};
-use feed::{Feed, Known};
+use feed::{ControlFeed, KnownEvents};
 use serde::Deserialize;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -23,248 +23,285 @@
 use std::time::{Duration, Instant};
 use switches::Switches;
 
-/// After SIGTERM, callers go on coming for so long.
-const STILL_COMING: Micros = 800_000;
-/// And after so long whoever still waits is told that its call failed, before the program would be killed.
-const LAST_ANSWER: Micros = 3_300_000;
-/// Each time limit of the rules is so much longer on sockets. The wait for a release is told to the module so.
-const ON_SOCKETS: Micros = 50_000;
-/// How long the loop's timer rests with nothing due.
-const REST: Duration = Duration::from_secs(3600);
-/// Connection time-out where the settings name none.
-const CONNECT: Micros = 500_000;
-/// Longest that a caller may say it waits, where the settings name no deadline.
-const LONGEST: Micros = 60_000_000;
-/// After so long idle connections are closed, where the settings say nothing.
-const KEEPALIVE: Micros = 600_000_000;
+/// Shortest time that the program keeps running after SIGTERM, since callers go on sending set-ups.
+const MIN_SHUTDOWN_TIME: Micros = 800_000;
+/// Time after SIGTERM at which calls without an answer are rejected, so that their callers are told before
+/// the program would be killed.
+const SHUTDOWN_REJECT_AFTER: Micros = 3_300_000;
+/// Time after SIGTERM at which the program exits in any case: 100 ms are left to send the rejections.
+const MAX_SHUTDOWN_TIME: Micros = SHUTDOWN_REJECT_AFTER + 100_000;
+/// Over sockets, each time limit of the deployment is longer by this margin. The release wait that the module
+/// is given includes it.
+const SOCKET_TIME_MARGIN: Micros = 50_000;
+/// Interval of the event loop's timer while the timer queue is empty.
+const IDLE_TIMER_INTERVAL: Duration = Duration::from_secs(3600);
+/// Time-out of a connection attempt to a switch, unless the settings give one.
+const DEFAULT_CONNECT_TIMEOUT: Micros = 500_000;
+/// Longest time for which a caller may say that it waits, where the settings give no deadline for any class.
+const DEFAULT_MAX_CALLER_TIMEOUT: Micros = 60_000_000;
+/// Idle time after which a switch closes its connection, unless the settings give one.
+const DEFAULT_KEEPALIVE_TIMEOUT: Micros = 600_000_000;
 
-/// A line of the log. Nothing is done where the log can't be written: calls come first.
+/// Writes a line to the log, which is standard error. A failure to write is ignored, so that calls are served
+/// even without a log.
 pub fn log(line: &str) {
     let _ = writeln!(std::io::stderr(), "{line}");
 }
 
+/// The configuration file; fields have the names of its keys.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     listen: String,
     #[serde(default)]
     name: String,
     #[serde(default)]
     seed: String,
     #[serde(default)]
-    limits: FileLimits,
+    limits: ConfigFileLimits,
     #[serde(default)]
     feed: String,
     #[serde(default)]
-    known: Known,
+    known: KnownEvents,
     settings: serde_json::Value,
 }
 
 #[derive(Default, Deserialize)]
-struct FileLimits {
+struct ConfigFileLimits {
     sockets: Option<usize>,
     memory_mb: Option<f64>,
 }
 
-/// What may be held at once, from the limits in the configuration. The program takes a few MB by itself.
-struct Budget {
-    /// Callers' connections. Usual callers hold a third of the descriptors at most; a quarter is for switches,
-    /// the control feed and the program's own.
-    callers: usize,
-    /// Bytes unsent to one caller; with each caller at its limit, an eighth of the memory.
-    caller_unsent: usize,
-    /// Bytes unsent to one switch, and of a line of the control feed.
-    peer: usize,
-    /// Calls, open or standing, at about a kilobyte each in call control and the module.
-    calls: usize,
-    /// Bytes of the descriptions that open calls hold.
-    descriptions: usize,
+/// Limits on what the program holds at a time, derived from the limits in the configuration. The program
+/// itself takes a few MB besides.
+struct ResourceLimits {
+    /// Connections of callers. In normal operation callers hold at most a third of the descriptors; a quarter
+    /// is reserved for the switches, the control feed and the program itself.
+    max_caller_connections: usize,
+    /// Unsent bytes per caller. If each caller is at this limit, they take an eighth of the memory together.
+    max_unsent_bytes_per_caller: usize,
+    /// Unsent bytes per switch, and the size of a line of the control feed.
+    max_peer_buffer_bytes: usize,
+    /// Calls, answered or not. Each takes about a kilobyte in call control and the module.
+    max_calls: usize,
+    /// Total bytes of the session descriptions that unanswered calls hold.
+    max_description_bytes: usize,
 }
 
-impl Budget {
-    fn new(sockets: usize, memory: usize) -> Self {
-        let callers = (sockets - sockets / 4).max(8);
-        let caller_unsent = (memory / 8 / callers).max(2 * binary::MAX_MESSAGE_BYTES);
-        Budget { callers, caller_unsent, peer: memory / 64, calls: memory / 8192, descriptions: memory / 8 }
+impl ResourceLimits {
+    fn new(max_sockets: usize, memory_bytes: usize) -> Self {
+        let max_caller_connections = (max_sockets - max_sockets / 4).max(8);
+        ResourceLimits {
+            max_caller_connections,
+            max_unsent_bytes_per_caller: (memory_bytes / 8 / max_caller_connections)
+                .max(2 * binary::MAX_MESSAGE_BYTES),
+            max_peer_buffer_bytes: memory_bytes / 64,
+            max_calls: memory_bytes / 8192,
+            max_description_bytes: memory_bytes / 8,
+        }
     }
 }
 
-/// What a gatekeeper is told at its start, and again with each SIGHUP.
+/// The configuration of a gatekeeper, which is read at its start and again on SIGHUP.
 pub struct Config {
-    /// The file that says so.
+    /// Path of the configuration file.
     path: PathBuf,
-    /// Its name.
+    /// Name of the gatekeeper.
     pub name: String,
-    /// Where callers connect.
-    pub listen: SocketAddr,
+    /// Address on which callers connect.
+    pub listen_address: SocketAddr,
     seed: u64,
-    budget: Budget,
-    feed: Option<SocketAddr>,
-    known: Known,
+    resource_limits: ResourceLimits,
+    feed_address: Option<SocketAddr>,
+    known_events: KnownEvents,
     settings: Settings,
     names: IndexedNames,
     connect_timeout: Micros,
-    keepalive: Micros,
+    keepalive_timeout: Micros,
     call_limits: CallLimits,
 }
 
 impl Config {
-    /// Reads a configuration file. The environment has the last word on where to listen, and under which name.
+    /// Reads a configuration file. The environment variables BALANCER_LISTEN and BALANCER_NAME override the
+    /// listen address and the name in it.
     ///
     /// # Errors
-    /// What is wrong with it, in one line.
+    /// The first error in the configuration, in one line.
     pub fn load(path: &Path) -> Result<Self, String> {
-        let said = |problem: String| format!("{}: {problem}", path.display());
-        let text = std::fs::read_to_string(path).map_err(|e| said(e.to_string()))?;
-        let mut config = Self::parse(path, &text).map_err(said)?;
-        if let Ok(listen) = std::env::var("BALANCER_LISTEN") {
-            config.listen =
-                listen.parse().map_err(|_| format!("BALANCER_LISTEN: {listen:?} is no address"))?;
+        let with_path = |problem: String| format!("{}: {problem}", path.display());
+        let text = std::fs::read_to_string(path).map_err(|error| with_path(error.to_string()))?;
+        let mut config = Self::parse(path, &text).map_err(with_path)?;
+        if let Ok(address) = std::env::var("BALANCER_LISTEN") {
+            config.listen_address = address
+                .parse()
+                .map_err(|_| format!("BALANCER_LISTEN: {address:?} is not an IP address with a port"))?;
         }
         config.name = std::env::var("BALANCER_NAME").unwrap_or(config.name);
         Ok(config)
     }
 
     fn parse(path: &Path, text: &str) -> Result<Self, String> {
-        let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
+        let file: ConfigFile = serde_json::from_str(text).map_err(|error| error.to_string())?;
         let pairs = settings::flatten_json(&file.settings);
-        let (mut settings, names) = settings::build_settings(&pairs).map_err(|p| format!("settings: {p}"))?;
-        settings.release_wait += ON_SOCKETS;
-        let budget = Budget::new(
+        let (mut settings, names) =
+            settings::build_settings(&pairs).map_err(|error| format!("settings: {error}"))?;
+        settings.release_wait += SOCKET_TIME_MARGIN;
+        let resource_limits = ResourceLimits::new(
             file.limits.sockets.unwrap_or(1024),
             (file.limits.memory_mb.unwrap_or(192.0).clamp(8.0, 1e6) * 1e6) as usize,
         );
-        let address = |key: &str, text: &str| {
-            text.parse::<SocketAddr>().map_err(|_| format!("{key}: {text:?} is no address with a port"))
+        let parse_address = |key: &str, text: &str| {
+            text.parse::<SocketAddr>()
+                .map_err(|_| format!("{key}: {text:?} is not an IP address with a port"))
         };
         Ok(Config {
             path: path.to_path_buf(),
-            listen: address("listen", &file.listen)?,
+            listen_address: parse_address("listen", &file.listen)?,
             name: file.name,
-            // Sixteen hex digits; of any other text the bytes serve as well.
-            seed: u64::from_str_radix(&file.seed, 16)
-                .unwrap_or_else(|_| file.seed.bytes().fold(7, |n, b| n.rotate_left(9) ^ u64::from(b))),
-            feed: if file.feed.is_empty() { None } else { Some(address("feed", &file.feed)?) },
-            known: file.known,
-            connect_timeout: settings::duration_or(&pairs, "limits.connectTimeoutS", CONNECT),
+            // The seed is a hexadecimal number of up to 64 bits; any other text is hashed to one.
+            seed: u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| {
+                file.seed.bytes().fold(7, |hash, byte| hash.rotate_left(9) ^ u64::from(byte))
+            }),
+            feed_address: if file.feed.is_empty() { None } else { Some(parse_address("feed", &file.feed)?) },
+            known_events: file.known,
+            connect_timeout: settings::duration_or(&pairs, "limits.connectTimeoutS", DEFAULT_CONNECT_TIMEOUT),
             call_limits: CallLimits {
-                max_calls: settings::count_or(&pairs, "limits.openCap", usize::MAX).min(budget.calls),
-                max_description_bytes: budget.descriptions,
-                max_caller_timeout: settings::max_caller_wait(&pairs, LONGEST),
+                max_calls: settings::count_or(&pairs, "limits.openCap", usize::MAX)
+                    .min(resource_limits.max_calls),
+                max_description_bytes: resource_limits.max_description_bytes,
+                max_caller_timeout: settings::max_caller_wait(&pairs, DEFAULT_MAX_CALLER_TIMEOUT),
                 circuits_by_class: settings::circuits_by_class(&pairs),
             },
-            budget,
-            keepalive: settings::duration_or(&pairs, "limits.keepaliveS", KEEPALIVE),
+            resource_limits,
+            keepalive_timeout: settings::duration_or(&pairs, "limits.keepaliveS", DEFAULT_KEEPALIVE_TIMEOUT),
             settings,
             names,
         })
     }
 
-    /// What it says, in one line.
+    /// Returns a summary in one line.
     pub fn summary(&self) -> String {
-        let (events, classes, here) =
-            (self.known.events.len(), self.settings.classes.len(), self.settings.own_exchange);
-        format!("{}: exchange {here}, {classes} classes, {events} events known", self.name)
+        let exchange = self.settings.own_exchange;
+        let classes = self.settings.classes.len();
+        let events = self.known_events.events.len();
+        format!("{}: exchange {exchange}, {classes} classes, {events} events known", self.name)
     }
 }
 
-/// A connection on which more may have come than was read in one turn.
+/// A connection that may have more input than was read in one iteration of the event loop.
 #[derive(Clone, Copy)]
-enum Unread {
+enum PendingRead {
     Caller(ConnectionId),
     Switch(SwitchId),
     Feed,
 }
 
-/// The gatekeeper: what the callbacks of the loop work on.
-pub struct Node {
+/// The state of the gatekeeper, which the callbacks of the event loop work on.
+pub struct Gatekeeper {
     clock: Clock,
     call_control: CallControl,
     callers: Callers,
     switches: Switches,
-    feed: Feed,
-    unread: Vec<Unread>,
-    /// What the loop's timer is set for.
-    armed: Option<Micros>,
+    feed: ControlFeed,
+    pending_reads: Vec<PendingRead>,
+    /// The deadline that the event loop's timer is set to.
+    timer_deadline: Option<Micros>,
+    /// Set once every switch in service has reported its load or has failed to do so in time.
     ready: bool,
-    /// When the program was told to stop.
-    stopping: Option<Micros>,
-    /// The configuration's file, which SIGHUP has read again.
-    path: PathBuf,
+    /// When the program was told to shut down.
+    shutdown_started_at: Option<Micros>,
+    /// Path of the configuration file, which SIGHUP reloads.
+    config_path: PathBuf,
 }
 
-/// Runs a gatekeeper until it is told to stop and has answered all it took.
+/// Runs a gatekeeper until it is told to shut down and has answered the calls that it has taken.
 ///
 /// # Errors
-/// What kept it from starting, or broke the loop.
+/// Why it could not start, or a failure of the event loop.
 pub fn serve(config: Config) -> Result<(), String> {
-    let mut event_loop: EventLoop<'static, Node> = EventLoop::try_new().map_err(|e| format!("loop: {e}"))?;
+    let mut event_loop: EventLoop<'static, Gatekeeper> =
+        EventLoop::try_new().map_err(|error| format!("event loop: {error}"))?;
     let handle = event_loop.handle();
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])
-        .map_err(|e| format!("signals: {e}"))?;
+        .map_err(|error| format!("signals: {error}"))?;
     handle
-        .insert_source(signals, |event, _, node: &mut Node| match event.signal() {
-            Signal::SIGHUP => node.reload(),
-            _ => node.stop(),
+        .insert_source(signals, |event, _, gatekeeper: &mut Gatekeeper| match event.signal() {
+            Signal::SIGHUP => gatekeeper.reload_config(),
+            _ => gatekeeper.start_shutdown(),
         })
-        .map_err(|e| format!("signals: {}", e.error))?;
-    let timer = Dispatcher::new(Timer::immediate(), |_, _, node: &mut Node| {
-        // Guards against a lost wake-up: the turn's time may have been read just before the timer was due, so
-        // that what it was set for comes out of the queue in the next turn only. It is set again in any case.
-        node.armed = None;
-        TimeoutAction::ToDuration(REST)
+        .map_err(|error| format!("signals: {}", error.error))?;
+    let timer = Dispatcher::new(Timer::immediate(), |_, _, gatekeeper: &mut Gatekeeper| {
+        // Makes the loop below set the timer again. The time of this iteration may have been read just before
+        // the deadline, so that the event stays in the queue until the next iteration.
+        gatekeeper.timer_deadline = None;
+        TimeoutAction::ToDuration(IDLE_TIMER_INTERVAL)
     });
-    let timer_token = handle.register_dispatcher(timer.clone()).map_err(|e| format!("timer: {e}"))?;
+    let timer_token = handle.register_dispatcher(timer.clone()).map_err(|error| format!("timer: {error}"))?;
 
     let mut clock = Clock::start();
     let now = clock.now();
-    let here = config.settings.own_exchange;
-    let budget = config.budget;
-    let callers = Callers::listen(handle.clone(), config.listen, budget.callers, budget.caller_unsent)
-        .map_err(|e| format!("listen on {}: {e}", config.listen))?;
-    let mut node = Node {
+    let own_exchange = config.settings.own_exchange;
+    let limits = config.resource_limits;
+    let callers = Callers::listen(
+        handle.clone(),
+        config.listen_address,
+        limits.max_caller_connections,
+        limits.max_unsent_bytes_per_caller,
+    )
+    .map_err(|error| format!("listen on {}: {error}", config.listen_address))?;
+    let mut gatekeeper = Gatekeeper {
         clock,
         call_control: CallControl::new(config.settings, config.names, config.call_limits, config.seed, now),
         callers,
-        switches: Switches::new(handle.clone(), config.connect_timeout, config.keepalive, here, budget.peer),
-        feed: Feed::new(handle.clone(), config.feed, budget.peer),
-        unread: vec![],
-        armed: None,
+        switches: Switches::new(
+            handle.clone(),
+            config.connect_timeout,
+            config.keepalive_timeout,
+            own_exchange,
+            limits.max_peer_buffer_bytes,
+        ),
+        feed: ControlFeed::new(handle.clone(), config.feed_address, limits.max_peer_buffer_bytes),
+        pending_reads: vec![],
+        timer_deadline: None,
         ready: false,
-        stopping: None,
-        path: config.path,
+        shutdown_started_at: None,
+        config_path: config.path,
     };
-    node.start_feed(config.known);
-    node.look_after_callers();
+    gatekeeper.start_feed(config.known_events);
+    gatekeeper.look_after_callers();
 
-    while !node.turn() {
-        let next = node.call_control.next_deadline();
-        node.clock.end_iteration();
-        if next.is_none() || next != node.armed {
-            node.armed = next;
-            // With nothing due the timer rests; the module's own tick never lets that happen.
-            let at = next.map_or_else(|| Instant::now() + REST, |at| node.clock.to_instant(at));
-            timer.as_source_mut().set_deadline(at);
-            handle.update(&timer_token).map_err(|e| format!("timer: {e}"))?;
+    while !gatekeeper.complete_iteration() {
+        let next_deadline = gatekeeper.call_control.next_deadline();
+        gatekeeper.clock.end_iteration();
+        if next_deadline.is_none() || next_deadline != gatekeeper.timer_deadline {
+            gatekeeper.timer_deadline = next_deadline;
+            // The queue is never empty in practice: the controller has a periodic timer.
+            let instant = next_deadline.map_or_else(
+                || Instant::now() + IDLE_TIMER_INTERVAL,
+                |deadline| gatekeeper.clock.to_instant(deadline),
+            );
+            timer.as_source_mut().set_deadline(instant);
+            handle.update(&timer_token).map_err(|error| format!("timer: {error}"))?;
         }
-        let wait = if node.unread.is_empty() { None } else { Some(Duration::ZERO) };
-        event_loop.dispatch(wait, &mut node).map_err(|e| format!("loop: {e}"))?;
-        node.read_on();
+        let max_wait = if gatekeeper.pending_reads.is_empty() { None } else { Some(Duration::ZERO) };
+        event_loop.dispatch(max_wait, &mut gatekeeper).map_err(|error| format!("event loop: {error}"))?;
+        gatekeeper.resume_reads();
     }
     log("stopped");
     Ok(())
 }
 
-impl Node {
-    /// The end of a turn: what is due, a batch for the module, and all that is to be written. True at the end.
-    fn turn(&mut self) -> bool {
+impl Gatekeeper {
+    /// Completes an iteration of the event loop: handles the timers that are due, runs a batch of the module,
+    /// executes the resulting commands and sends the output. Returns true if the program is to exit.
+    fn complete_iteration(&mut self) -> bool {
         let now = self.clock.now();
-        while let Some(due) = self.call_control.timers.pop_due(now) {
-            match due {
+        while let Some(event) = self.call_control.timers.pop_due(now) {
+            match event {
                 TimerEvent::SwitchConnection(switch) => self.link_due(switch),
-                TimerEvent::ControlFeed => self.feed_due(),
+                TimerEvent::ControlFeed => self.handle_feed_timer(),
                 TimerEvent::CallerMaintenance => self.look_after_callers(),
                 TimerEvent::Shutdown => {
-                    if self.stopping.is_some_and(|since| now >= since + LAST_ANSWER) {
+                    if self.shutdown_started_at.is_some_and(|start| now >= start + SHUTDOWN_REJECT_AFTER) {
                         self.call_control.fail_unanswered_calls(now);
                     }
                 }
@@ -272,37 +309,38 @@
             }
         }
         self.call_control.run_batch(now);
-        self.carry_out();
+        self.execute_commands();
         if !self.ready && self.switches.all_heard() {
             self.ready = true;
             log("ready");
         }
-        if self.callers.has_tests() && (self.ready || self.stopping.is_some()) {
-            // One that stops takes no more in: the front should turn elsewhere.
-            self.callers.pass_tests(self.stopping.is_none());
+        if self.callers.has_tests() && (self.ready || self.shutdown_started_at.is_some()) {
+            // During a shutdown health checks fail, so that new calls are directed to another gatekeeper.
+            self.callers.pass_tests(self.shutdown_started_at.is_none());
         }
-        self.flush();
-        let quiet = |since: Micros| {
+        self.flush_connections();
+        let is_finished = |start: Micros| {
             let flushed = self.callers.is_flushed() && self.switches.is_flushed();
-            now >= since + STILL_COMING && self.call_control.unanswered_count() == 0 && flushed
+            now >= start + MIN_SHUTDOWN_TIME && self.call_control.unanswered_count() == 0 && flushed
         };
-        self.stopping.is_some_and(|since| quiet(since) || now >= since + LAST_ANSWER + 100_000)
+        self.shutdown_started_at.is_some_and(|start| is_finished(start) || now >= start + MAX_SHUTDOWN_TIME)
     }
 
-    /// Edge-triggered, the loop tells of nothing again: what was left unread has its turn here.
-    fn read_on(&mut self) {
-        for unread in std::mem::take(&mut self.unread) {
-            match unread {
-                Unread::Caller(origin) => self.caller_ready(origin),
-                Unread::Switch(switch) => self.switch_ready(switch),
-                Unread::Feed => self.feed_ready(),
+    /// Continues to read connections that had more input than was read at once. Readiness is edge-triggered,
+    /// so the event loop does not report it again.
+    fn resume_reads(&mut self) {
+        for pending_read in std::mem::take(&mut self.pending_reads) {
+            match pending_read {
+                PendingRead::Caller(connection) => self.caller_ready(connection),
+                PendingRead::Switch(switch) => self.switch_ready(switch),
+                PendingRead::Feed => self.handle_feed_readiness(),
             }
         }
     }
 
-    fn carry_out(&mut self) {
+    fn execute_commands(&mut self) {
         let now = self.clock.now();
-        // Carrying a command out may bring about more, as when a switch can't be reached.
+        // A command can cause further commands, for example if its switch cannot be reached.
         while !self.call_control.commands.is_empty() {
             for command in std::mem::take(&mut self.call_control.commands) {
                 match command {
@@ -328,41 +366,45 @@
         }
     }
 
-    fn flush(&mut self) {
+    /// Sends the output of all connections and closes those that have failed or ended.
+    fn flush_connections(&mut self) {
         let call_control = &self.call_control;
-        for origin in self.callers.flush(|origin| call_control.unanswered_set_up(origin).is_some()) {
-            self.close_caller(origin);
+        for connection in
+            self.callers.flush(|connection| call_control.unanswered_set_up(connection).is_some())
+        {
+            self.close_caller(connection);
         }
         for switch in self.switches.flush() {
             self.drop_link(switch);
         }
         if !self.feed.flush() {
-            self.close_feed("broke the connection", 0);
+            self.close_feed("connection failed", 0);
         }
     }
 
-    /// Reads the configuration again. The numbers of events, the calls and the connections stay; what the rest
-    /// of the file says counts from the next start.
-    fn reload(&mut self) {
-        match Config::load(&self.path) {
+    /// Reloads the configuration file. Only the address of the control feed and the known events take effect;
+    /// everything else in the file takes effect at the next start. Event numbers continue, and the calls and
+    /// the connections stay.
+    fn reload_config(&mut self) {
+        match Config::load(&self.config_path) {
             Ok(config) => {
-                log("configuration read again");
-                self.move_feed(config.feed, config.known);
+                log("configuration reloaded");
+                self.reconfigure_feed(config.feed_address, config.known_events);
             }
-            // Guards against a file that is bad or half written: the gatekeeper goes on as it was.
-            Err(problem) => log(&format!("the old configuration stays: {problem}")),
+            // The file may be invalid or only partly written. The gatekeeper goes on unchanged.
+            Err(error) => log(&format!("configuration not reloaded: {error}")),
         }
     }
 
-    fn stop(&mut self) {
-        if self.stopping.is_some() {
+    fn start_shutdown(&mut self) {
+        if self.shutdown_started_at.is_some() {
             return;
         }
         let now = self.clock.now();
-        log(&format!("told to stop: {} calls wait for their answer", self.call_control.unanswered_count()));
-        self.stopping = Some(now);
-        for after in [STILL_COMING, LAST_ANSWER, LAST_ANSWER + 100_000] {
-            self.call_control.timers.push(now + after, TimerEvent::Shutdown);
+        log(&format!("shutting down: {} unanswered calls", self.call_control.unanswered_count()));
+        self.shutdown_started_at = Some(now);
+        for delay in [MIN_SHUTDOWN_TIME, SHUTDOWN_REJECT_AFTER, MAX_SHUTDOWN_TIME] {
+            self.call_control.timers.push(now + delay, TimerEvent::Shutdown);
         }
     }
 }
@@ -371,17 +413,17 @@
 /// overwritten and, in about one of eight, the last byte cut off. A decoder must not panic on any of them,
 /// since a panic ends the program.
 #[cfg(test)]
-fn for_each_mutation(whole: &[u8], mut each: impl FnMut(&[u8])) {
+fn for_each_mutation(encoded: &[u8], mut check: impl FnMut(&[u8])) {
     use rand_core::{RngCore, SeedableRng};
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(1);
     for _ in 0..20_000 {
-        let mut bytes = whole.to_vec();
+        let mut bytes = encoded.to_vec();
         for _ in 0..=rng.next_u32() % 4 {
-            let at = rng.next_u32() as usize % bytes.len();
-            bytes[at] = rng.next_u32() as u8;
+            let index = rng.next_u32() as usize % bytes.len();
+            bytes[index] = rng.next_u32() as u8;
         }
         bytes.truncate(bytes.len() - rng.next_u32() as usize % 8 / 7);
-        each(&bytes);
+        check(&bytes);
     }
 }
 
@@ -390,15 +432,19 @@
     use super::*;
 
     #[test]
-    fn budgets_follow_the_configuration_and_fit_into_it() {
+    fn resource_limits_fit_within_the_configured_sockets_and_memory() {
         for (sockets, memory_mb) in [(256, 32), (384, 48), (1024, 128), (1024, 192)] {
-            let memory = memory_mb * 1_000_000;
-            let budget = Budget::new(sockets, memory);
-            // Usual callers hold a third; switches, the feed and the program itself need the rest.
-            assert!(budget.callers > sockets / 3 && sockets - budget.callers >= 64);
-            let unsent = budget.callers * budget.caller_unsent + 9 * budget.peer;
-            assert!(budget.caller_unsent >= binary::MAX_MESSAGE_BYTES);
-            assert!(unsent + budget.calls * 1024 + budget.descriptions < memory * 3 / 4, "{memory_mb} MB");
+            let memory_bytes = memory_mb * 1_000_000;
+            let limits = ResourceLimits::new(sockets, memory_bytes);
+            // In normal operation callers hold a third; the switches, the feed and the program need the rest.
+            assert!(limits.max_caller_connections > sockets / 3);
+            assert!(sockets - limits.max_caller_connections >= 64);
+            assert!(limits.max_unsent_bytes_per_caller >= binary::MAX_MESSAGE_BYTES);
+            let unsent_to_callers = limits.max_caller_connections * limits.max_unsent_bytes_per_caller;
+            let peer_buffers = 9 * limits.max_peer_buffer_bytes;
+            let calls = limits.max_calls * 1024 + limits.max_description_bytes;
+            let total = unsent_to_callers + peer_buffers + calls;
+            assert!(total < memory_bytes * 3 / 4, "{memory_mb} MB");
         }
     }
 }
--- a/src/net/switches.rs
+++ b/src/net/switches.rs
@@ -3,7 +3,7 @@
 
 use super::lines::{self, Message};
 use super::link::{Connection, ReadStatus};
-use super::{Node, Unread, log};
+use super::{Gatekeeper, PendingRead, log};
 use crate::call::{Release, Tag, TimerEvent, cause};
 use crate::interface::{EndReason, ExchangeNumber, Health, LoadReport, Micros, SwitchId};
 use calloop::LoopHandle;
@@ -114,7 +114,7 @@
 
 /// All carrier switches.
 pub struct Switches {
-    handle: LoopHandle<'static, Node>,
+    handle: LoopHandle<'static, Gatekeeper>,
     connect_timeout: Micros,
     /// Idle connections are closed after this.
     keepalive: Micros,
@@ -132,8 +132,8 @@
 impl Switches {
     /// No switch is known yet.
     pub fn new(
-        handle: LoopHandle<'static, Node>, connect_timeout: Micros, keepalive: Micros, here: ExchangeNumber,
-        most_unsent: usize,
+        handle: LoopHandle<'static, Gatekeeper>, connect_timeout: Micros, keepalive: Micros,
+        here: ExchangeNumber, most_unsent: usize,
     ) -> Self {
         let (switches, names) = (BTreeMap::new(), HashMap::new());
         Switches { handle, connect_timeout, keepalive, here, most_unsent, switches, names, last: 0 }
@@ -214,7 +214,7 @@
     }
 }
 
-impl Node {
+impl Gatekeeper {
     /// The control feed tells of a switch.
     pub(super) fn host(&mut self, host: Host) {
         let now = self.clock.now();
@@ -340,9 +340,12 @@
         let Some(switch) = self.switches.switches.get_mut(&id) else { return };
         let State::Closed { .. } = switch.state else { return };
         let Some(address) = switch.host.address.filter(|_| switch.wanted()) else { return };
-        match Connection::connect(&self.switches.handle, address, self.switches.most_unsent, move |node| {
-            node.switch_ready(id)
-        }) {
+        match Connection::connect(
+            &self.switches.handle,
+            address,
+            self.switches.most_unsent,
+            move |gatekeeper| gatekeeper.switch_ready(id),
+        ) {
             Ok(link) => {
                 switch.state = State::Connecting { link, until };
                 self.call_control.timers.push(until, TimerEvent::SwitchConnection(id));
@@ -407,7 +410,9 @@
         let Some(address) = switch.host.address else { return };
         let until = now + self.switches.connect_timeout;
         let most = self.switches.most_unsent;
-        match Connection::connect(&self.switches.handle, address, most, move |node| node.switch_ready(id)) {
+        match Connection::connect(&self.switches.handle, address, most, move |gatekeeper| {
+            gatekeeper.switch_ready(id)
+        }) {
             Ok(link) => switch.trial = Some(Trial { link, since: now, until, up: false, spoke: None }),
             Err(e) => log(&format!("switch {} refuses a new connection: {e}", switch.host.name)),
         }
@@ -490,7 +495,7 @@
     fn heard_lines(&mut self, now: Micros, id: SwitchId, (messages, result, progress): Said) -> bool {
         let result = messages.into_iter().try_for_each(|m| self.heard_switch(now, id, m)).and(result);
         if progress == ReadStatus::MorePossible {
-            self.unread.push(Unread::Switch(id));
+            self.pending_reads.push(PendingRead::Switch(id));
         }
         result.is_ok() && !matches!(progress, ReadStatus::EndOfStream | ReadStatus::Failed)
     }
@@ -566,7 +571,7 @@
         }
         match progress {
             ReadStatus::WouldBlock => {}
-            ReadStatus::MorePossible => self.unread.push(Unread::Switch(id)),
+            ReadStatus::MorePossible => self.pending_reads.push(PendingRead::Switch(id)),
             ReadStatus::EndOfStream | ReadStatus::Failed => {
                 let how = if progress == ReadStatus::EndOfStream { "closed" } else { "reset" };
                 log(&format!("switch {name}: the connection was {how}"));
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -263,7 +263,7 @@
         ("{", "EOF while parsing"),
         ("{\"listen\": \"127.0.0.1:0\"}", "missing field `settings`"),
         (missing.as_str(), "settings: groupSize: missing"),
-        (&read("config.json"), "feed: \"@feed\" is no address"),
+        (&read("config.json"), "feed: \"@feed\" is not an IP address with a port"),
     ];
     for (n, (text, problem)) in cases.iter().enumerate() {
         let path = std::env::temp_dir().join(format!("wheatpier-bad-{}-{n}", std::process::id()));
