--- a/src/net/feed.rs
+++ b/src/net/feed.rs
@@ -2,7 +2,7 @@
 
 use super::lines;
 use super::link::{Connection, DecodeResult, ReadStatus};
-use super::switches::Host;
+use super::switches::ListedSwitch;
 use super::{Node, Unread, log};
 use crate::call::TimerEvent;
 use crate::clock::Clock;
@@ -63,11 +63,11 @@
 }
 
 impl Entry {
-    fn host(&self, clock: &Clock) -> Host {
-        Host {
+    fn host(&self, clock: &Clock) -> ListedSwitch {
+        ListedSwitch {
             name: self.host.clone(),
             address: self.dial.parse().ok(),
-            number: self.block,
+            exchange_number: self.block,
             health: match self.health {
                 Word::Serving => Health::InService,
                 Word::Draining => Health::Draining,
@@ -285,9 +285,9 @@
                 }
             };
             let host = entry.host(&self.clock);
-            let (zone, exchange_number) = (self.call_control.zone_index(&entry.site), host.number);
+            let (zone, exchange_number) = (self.call_control.zone_index(&entry.site), host.exchange_number);
             let (health, up_since) = (host.health, host.up_since);
-            let switch = self.switches.id(&host.name, health);
+            let switch = self.switches.get_or_assign_id(&host.name, health);
             listed.extend(switch.map(|switch| SwitchEntry {
                 switch,
                 zone,
@@ -296,10 +296,10 @@
                 up_since,
             }));
             names.push(host.name.clone());
-            self.host(host);
+            self.update_switch(host);
         }
         if members.whole {
-            self.keep_hosts(&names);
+            self.remove_unlisted_switches(&names);
         }
         self.call_control.handle_switch_list(if members.whole {
             SwitchListUpdate::Full(listed)
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -260,7 +260,7 @@
         let now = self.clock.now();
         while let Some(due) = self.call_control.timers.pop_due(now) {
             match due {
-                TimerEvent::SwitchConnection(switch) => self.link_due(switch),
+                TimerEvent::SwitchConnection(switch) => self.handle_switch_connection_timer(switch),
                 TimerEvent::ControlFeed => self.feed_due(),
                 TimerEvent::CallerMaintenance => self.look_after_callers(),
                 TimerEvent::Shutdown => {
@@ -273,7 +273,7 @@
         }
         self.call_control.run_batch(now);
         self.carry_out();
-        if !self.ready && self.switches.all_heard() {
+        if !self.ready && self.switches.all_initial_states_known() {
             self.ready = true;
             log("ready");
         }
@@ -294,7 +294,7 @@
         for unread in std::mem::take(&mut self.unread) {
             match unread {
                 Unread::Caller(origin) => self.caller_ready(origin),
-                Unread::Switch(switch) => self.switch_ready(switch),
+                Unread::Switch(switch) => self.handle_switch_readiness(switch),
                 Unread::Feed => self.feed_ready(),
             }
         }
@@ -307,11 +307,11 @@
             for command in std::mem::take(&mut self.call_control.commands) {
                 match command {
                     Command::SetUp { switch, tag, class, called_number, deadline, description } => {
-                        let message = switches::set_up(tag, class, called_number, description);
+                        let message = switches::set_up_message(tag, class, called_number, description);
                         self.send_set_up(switch, tag, message, deadline);
                     }
-                    Command::ReleaseAtSwitch { switch, tag } => self.switches.give_up(switch, tag),
-                    Command::ReleaseAtAllSwitches(tag) => self.switches.give_up_anywhere(tag),
+                    Command::ReleaseAtSwitch { switch, tag } => self.switches.release(switch, tag),
+                    Command::ReleaseAtAllSwitches(tag) => self.switches.release_at_all(tag),
                     Command::Probe { switch, tag } => self.switches.probe(switch, tag),
                     Command::Answer { connection, tag, description } => {
                         self.callers.answer(now, connection, tag, description);
@@ -334,7 +334,7 @@
             self.close_caller(origin);
         }
         for switch in self.switches.flush() {
-            self.drop_link(switch);
+            self.close_switch_connection(switch);
         }
         if !self.feed.flush() {
             self.close_feed("broke the connection", 0);
--- a/src/net/switches.rs
+++ b/src/net/switches.rs
@@ -1,5 +1,5 @@
-//! The switch side: one connection to each carrier switch, kept open and shared by all calls, on which JSON
-//! lines are spoken.
+//! The connections to the carrier switches: one to each switch, kept open and shared by all calls, on which
+//! messages are exchanged as JSON lines.
 
 use super::lines::{self, Message};
 use super::link::{Connection, ReadStatus};
@@ -10,105 +10,128 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// First and longest wait before a switch is connected to again.
-const RETRY: (Micros, Micros) = (100_000, 1_000_000);
-/// A switch that can't be connected to for so long is dead or cut off, and so are its calls. A single refusal
-/// may come from one that takes no more connections.
-const DEAD_AFTER: Micros = 2_500_000;
-/// One that has calls and has said nothing for so long is tried by a new connection: a dead or cut-off machine
-/// leaves its old ones open and silent, but new ones never come up.
-const SILENCE: Micros = 1_500_000;
-/// A connection on which nothing has come for so long since a set-up went out may have failed by itself: a new one
-/// is tried, and takes its place if the switch speaks on it.
-const STUCK: Micros = 150_000;
-/// For so long a connection that was replaced is still listened to: a slow answer may come.
-const RETIRED: Micros = 3_000_000;
-/// How often an open connection is looked at.
-const WATCH: Micros = 50_000;
-
-enum State {
-    /// No connection; the next is tried then.
-    Closed { retry_at: Micros },
-    /// A connection is being set up until then.
-    Connecting { link: Connection, until: Micros },
-    /// A connection is open.
-    Open(Open),
+/// Delay before the next attempt to connect after a first failure. It doubles with each further failure. Also
+/// the delay after malformed input.
+const MIN_RECONNECT_DELAY: Micros = 100_000;
+/// Longest delay before the next attempt to connect.
+const MAX_RECONNECT_DELAY: Micros = 1_000_000;
+/// A switch to which no connection can be established for this long is taken to be down or cut off, and its
+/// calls are released. A single refusal does not suffice: the switch may accept no more connections for now.
+const UNREACHABLE_TIMEOUT: Micros = 2_500_000;
+/// A switch that has calls and has sent nothing for this long is checked with a second connection. The old
+/// connections of a machine that is down or cut off stay open and silent, but no new one can be established.
+const SILENCE_TIMEOUT: Micros = 1_500_000;
+/// If nothing has been received on a connection for this long after a set-up was sent, the connection itself
+/// may have failed. A second one is opened, and replaces the first if the switch sends a message on it.
+const RESPONSE_TIMEOUT: Micros = 150_000;
+/// How long a replaced connection is still read, since a late answer may arrive on it.
+const REPLACED_CONNECTION_RETENTION: Micros = 3_000_000;
+/// Interval between checks of an open connection.
+const CHECK_INTERVAL: Micros = 50_000;
+/// No set-up is sent on an idle connection that its switch is expected to close within this time, or within a
+/// quarter of the idle time-out if that is shorter.
+const MAX_IDLE_CLOSE_MARGIN: Micros = 1_000_000;
+
+enum ConnectionState {
+    /// There is no connection; the next attempt to connect is due at `reconnect_at`.
+    Closed { reconnect_at: Micros },
+    /// A connection is being established; the attempt times out at `deadline`.
+    Connecting { connection: Connection, deadline: Micros },
+    /// A connection is established.
+    Open(OpenConnection),
 }
 
-/// An open connection.
-struct Open {
-    link: Connection,
-    since: Micros,
-    /// When the last word about a call was spoken on it.
-    used: Micros,
-    /// When a set-up went out on it with nothing heard since.
-    asked: Option<Micros>,
-    /// A call has been answered on it.
-    served: bool,
+struct OpenConnection {
+    connection: Connection,
+    opened_at: Micros,
+    /// When the connection was opened, a set-up was last sent, or a message other than a load report was last
+    /// received. Messages received on a candidate or replaced connection count as well.
+    last_used_at: Micros,
+    /// When the first set-up was sent since a message was last received on this connection.
+    awaiting_response_since: Option<Micros>,
+    /// A message other than a load report has been received on this connection.
+    has_responded: bool,
 }
 
-impl Open {
-    fn new(link: Connection, now: Micros) -> Self {
-        Open { link, since: now, used: now, asked: None, served: false }
+impl OpenConnection {
+    fn new(connection: Connection, now: Micros) -> Self {
+        OpenConnection {
+            connection,
+            opened_at: now,
+            last_used_at: now,
+            awaiting_response_since: None,
+            has_responded: false,
+        }
     }
 }
 
-/// A second connection to a silent switch.
-struct Trial {
-    link: Connection,
-    since: Micros,
-    until: Micros,
-    up: bool,
-    /// How long it took until the switch spoke on it.
-    spoke: Option<Micros>,
+/// A second connection to a switch that does not respond on the open one. It shows whether the switch can
+/// still be reached, and may replace the open connection.
+struct CandidateConnection {
+    connection: Connection,
+    started_at: Micros,
+    /// When the attempt to connect times out.
+    deadline: Micros,
+    is_established: bool,
+    /// Time from `started_at` until the switch sent its first message on this connection.
+    first_message_delay: Option<Micros>,
 }
 
-/// A connection that a second one has replaced.
-struct Retired {
-    link: Connection,
-    at: Micros,
+/// A connection that has been replaced by a candidate connection.
+struct ReplacedConnection {
+    connection: Connection,
+    replaced_at: Micros,
 }
 
-/// What the control feed says of a switch.
+/// A carrier switch as the control feed describes it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Host {
-    /// Its name.
+pub struct ListedSwitch {
+    /// Its name in the control feed.
     pub name: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: Option<SocketAddr>,
-    /// Its number.
-    pub number: ExchangeNumber,
+    /// The number of the exchange that it serves.
+    pub exchange_number: ExchangeNumber,
     /// Its state.
     pub health: Health,
-    /// When it last started, if that is known.
+    /// When it last started, if known.
     pub up_since: Option<Micros>,
 }
 
+/// A set-up that is sent once the connection is established.
+struct QueuedSetUp {
+    tag: Tag,
+    message: Message,
+    /// When the attempt times out.
+    deadline: Micros,
+}
+
 struct Switch {
-    host: Host,
-    state: State,
-    /// Set-ups that wait for the connection, and until when each may.
-    waiting: Vec<(Tag, Message, Micros)>,
-    /// Calls to be given up as soon as there is a connection.
-    debts: Vec<Tag>,
-    retry: Micros,
-    /// When it was last heard, or a connection last came up.
-    last_heard: Micros,
-    /// Its connection is looked at then.
-    watch_at: Micros,
-    /// Since when it can't be reached.
-    lost_since: Option<Micros>,
-    /// Shows whether it is still there when its connection is silent. What it says there counts as well.
-    trial: Option<Trial>,
-    /// What came before the present connection, as long as answers may come on it.
-    retired: Option<Retired>,
-    /// Its group has been reported, or it could not be reached: no reason to wait for it.
-    heard: bool,
+    listed: ListedSwitch,
+    state: ConnectionState,
+    queued_set_ups: Vec<QueuedSetUp>,
+    /// Calls that are released at the switch once the connection is established.
+    pending_releases: Vec<Tag>,
+    /// Delay after the next failed attempt to connect.
+    reconnect_delay: Micros,
+    /// When a message was last received from the switch, or a connection to it established. While it has no
+    /// calls, the time of the last check: it then has no reason to send anything.
+    silent_since: Micros,
+    /// When the next check of the open connection is due.
+    next_check_at: Micros,
+    unreachable_since: Option<Micros>,
+    /// Messages received on this connection are handled like those on the open one.
+    candidate: Option<CandidateConnection>,
+    /// The predecessor of the open connection, kept as long as answers may arrive on it.
+    replaced: Option<ReplacedConnection>,
+    /// The switch has sent a message, normally the load report for its group of circuits, or it could not be
+    /// reached or was silent: the gatekeeper need not wait for it any longer before it is ready.
+    initial_state_known: bool,
 }
 
 impl Switch {
-    fn wanted(&self) -> bool {
-        self.host.address.is_some()
+    fn has_address(&self) -> bool {
+        self.listed.address.is_some()
     }
 }
 
@@ -116,210 +139,235 @@
 pub struct Switches {
     handle: LoopHandle<'static, Node>,
     connect_timeout: Micros,
-    /// Idle connections are closed after this.
-    keepalive: Micros,
-    /// The own exchange: nothing is sent there.
-    here: ExchangeNumber,
-    /// Most bytes that wait for one switch.
-    most_unsent: usize,
-    /// Those that are listed and not gone.
-    switches: BTreeMap<SwitchId, Switch>,
-    /// Their names on the wire and the module's ids: mapped here alone.
-    names: HashMap<String, SwitchId>,
-    last: u64,
+    /// How long a connection may be idle before its switch closes it.
+    idle_timeout: Micros,
+    /// The gatekeeper's own exchange; there are no connections to its switches.
+    own_exchange: ExchangeNumber,
+    /// Limit on the bytes that wait to be sent to one switch.
+    max_unsent_bytes: usize,
+    /// The listed switches of other exchanges, without those that are [`Health::Gone`].
+    by_id: BTreeMap<SwitchId, Switch>,
+    /// The controller's ids of the switches, by their names in the control feed. Only this type translates
+    /// between the two.
+    ids_by_name: HashMap<String, SwitchId>,
+    last_id: u64,
 }
 
 impl Switches {
-    /// No switch is known yet.
+    /// Creates an empty list of switches.
     pub fn new(
-        handle: LoopHandle<'static, Node>, connect_timeout: Micros, keepalive: Micros, here: ExchangeNumber,
-        most_unsent: usize,
+        handle: LoopHandle<'static, Node>, connect_timeout: Micros, idle_timeout: Micros,
+        own_exchange: ExchangeNumber, max_unsent_bytes: usize,
     ) -> Self {
-        let (switches, names) = (BTreeMap::new(), HashMap::new());
-        Switches { handle, connect_timeout, keepalive, here, most_unsent, switches, names, last: 0 }
-    }
-
-    /// The module's id of a switch that the list names; none for one that is gone and was not known.
-    pub fn id(&mut self, name: &str, health: Health) -> Option<SwitchId> {
-        let known = self.names.get(name).copied();
+        Switches {
+            handle,
+            connect_timeout,
+            idle_timeout,
+            own_exchange,
+            max_unsent_bytes,
+            by_id: BTreeMap::new(),
+            ids_by_name: HashMap::new(),
+            last_id: 0,
+        }
+    }
+
+    /// Returns the controller's id of a listed switch, and assigns one to a switch without an id. Returns
+    /// `None` for a switch without an id that is [`Health::Gone`].
+    pub fn get_or_assign_id(&mut self, name: &str, health: Health) -> Option<SwitchId> {
+        let known = self.ids_by_name.get(name).copied();
         if known.is_some() || health == Health::Gone {
             return known;
         }
-        self.last += 1;
-        self.names.insert(name.to_string(), SwitchId(self.last));
-        Some(SwitchId(self.last))
+        self.last_id += 1;
+        self.ids_by_name.insert(name.to_string(), SwitchId(self.last_id));
+        Some(SwitchId(self.last_id))
     }
 
-    /// Whether every switch in service has reported its group or could not be reached.
-    pub fn all_heard(&self) -> bool {
-        self.switches.values().all(|s| s.heard || !s.wanted() || s.host.health != Health::InService)
+    /// Returns true if every switch in service that has an address has sent a message, could not be reached
+    /// or was silent for [`SILENCE_TIMEOUT`] after a connection to it was established.
+    pub fn all_initial_states_known(&self) -> bool {
+        self.by_id.values().all(|switch| {
+            switch.initial_state_known || !switch.has_address() || switch.listed.health != Health::InService
+        })
     }
 
-    /// Whether all that was said is written.
+    /// Returns true if no output is waiting to be sent on an open connection.
     pub fn is_flushed(&self) -> bool {
-        self.switches.values().all(|s| match &s.state {
-            State::Open(open) => open.link.is_flushed(),
+        self.by_id.values().all(|switch| match &switch.state {
+            ConnectionState::Open(open) => open.connection.is_flushed(),
             _ => true,
         })
     }
 
-    /// Writes to an open connection; false if there is none.
-    fn write(&mut self, id: SwitchId, message: &Message) -> bool {
-        match self.switches.get_mut(&id).map(|s| &mut s.state) {
-            Some(State::Open(open)) => message.encode(open.link.output_buffer()),
+    /// Appends a message to the output of the open connection. Returns false if there is none or the message
+    /// is too long.
+    fn write_message(&mut self, id: SwitchId, message: &Message) -> bool {
+        match self.by_id.get_mut(&id).map(|switch| &mut switch.state) {
+            Some(ConnectionState::Open(open)) => message.encode(open.connection.output_buffer()),
             _ => false,
         }
     }
 
-    /// Gives a set-up up, or releases a call.
-    pub fn give_up(&mut self, id: SwitchId, tag: Tag) {
-        if let Some(switch) = self.switches.get_mut(&id) {
-            let waited = switch.waiting.len();
-            switch.waiting.retain(|w| w.0 != tag);
-            // What never left need not be given up.
-            let left = switch.waiting.len() == waited;
-            if left && !self.write(id, &finish(tag)) {
-                // Guards against a call that stays standing because its switch could not be told. They are as
-                // many as the bytes that may wait for it allow.
-                let most = self.most_unsent / finish(tag).tag.len();
-                let owing = self.switches.get_mut(&id).filter(|s| s.debts.len() < most);
-                owing.into_iter().for_each(|s| s.debts.push(tag));
+    /// Releases an attempt or an answered call at a switch.
+    pub fn release(&mut self, id: SwitchId, tag: Tag) {
+        if let Some(switch) = self.by_id.get_mut(&id) {
+            let queued_before = switch.queued_set_ups.len();
+            switch.queued_set_ups.retain(|set_up| set_up.tag != tag);
+            // A set-up that was still queued is unknown to the switch and needs no release.
+            let was_sent = switch.queued_set_ups.len() == queued_before;
+            if was_sent && !self.write_message(id, &release_message(tag)) {
+                // Without a connection the release is kept until there is one, as the call would otherwise
+                // stay up at the switch. The limit on unsent bytes bounds the total length of the tags kept.
+                let max_pending = self.max_unsent_bytes / release_message(tag).tag.len();
+                if let Some(switch) = self.by_id.get_mut(&id)
+                    && switch.pending_releases.len() < max_pending
+                {
+                    switch.pending_releases.push(tag);
+                }
             }
         }
     }
 
-    /// Gives a call up at every switch.
-    pub fn give_up_anywhere(&mut self, tag: Tag) {
-        let ids: Vec<SwitchId> = self.switches.keys().copied().collect();
-        ids.into_iter().for_each(|id| self.give_up(id, tag));
+    /// Releases a call at every switch.
+    pub fn release_at_all(&mut self, tag: Tag) {
+        let ids: Vec<SwitchId> = self.by_id.keys().copied().collect();
+        ids.into_iter().for_each(|id| self.release(id, tag));
     }
 
-    /// Probes a switch.
+    /// Sends a probe to a switch. It is not sent if there is no open connection.
     pub fn probe(&mut self, id: SwitchId, tag: Tag) {
-        self.write(id, &Message { result_code: Some(0), ..Message::new("ECHO", tag) });
+        self.write_message(id, &Message { result_code: Some(0), ..Message::new("ECHO", tag) });
     }
 
-    /// Writes what waits; returns the connections that broke.
+    /// Sends the buffered output of the open connections. Returns the switches whose connections have failed.
     pub fn flush(&mut self) -> Vec<SwitchId> {
-        let mut broken = Vec::new();
-        for (id, switch) in &mut self.switches {
-            if let State::Open(open) = &mut switch.state
-                && let Err(e) = open.link.flush()
+        let mut failed = Vec::new();
+        for (id, switch) in &mut self.by_id {
+            if let ConnectionState::Open(open) = &mut switch.state
+                && let Err(error) = open.connection.flush()
             {
-                log(&format!("switch {}: the connection broke: {e}", switch.host.name));
-                broken.push(*id);
+                log(&format!("switch {}: the connection failed: {error}", switch.listed.name));
+                failed.push(*id);
             }
         }
-        broken
+        failed
     }
 }
 
 impl Node {
-    /// The control feed tells of a switch.
-    pub(super) fn host(&mut self, host: Host) {
+    /// Takes the description of a switch from the control feed.
+    pub(super) fn update_switch(&mut self, listed: ListedSwitch) {
         let now = self.clock.now();
-        let Some(id) = self.switches.id(&host.name, host.health) else { return };
-        if host.health == Health::Gone {
-            return self.forget_switch(now, id, &host.name);
+        let Some(id) = self.switches.get_or_assign_id(&listed.name, listed.health) else { return };
+        if listed.health == Health::Gone {
+            return self.remove_switch(now, id, &listed.name);
         }
-        if host.number == self.switches.here {
+        if listed.exchange_number == self.switches.own_exchange {
             return;
         }
-        let before = self.switches.switches.get(&id).map(|s| s.host.clone());
-        // Guards against an address that a new switch has taken over: what was meant for the old one must not
-        // reach it, even while the list still names both.
-        if before.as_ref().is_none_or(|b| b.address != host.address) {
-            let same = |(_, s): &(&SwitchId, &Switch)| s.wanted() && s.host.address == host.address;
-            let others = self.switches.switches.iter().filter(|(other, _)| **other != id);
-            let taken: Vec<SwitchId> = others.filter(same).map(|(other, _)| *other).collect();
-            for other in taken {
-                log(&format!("switch {} has the address of another, which is gone", host.name));
-                self.drop_link(other);
+        let before = self.switches.by_id.get(&id).map(|switch| switch.listed.clone());
+        // A new switch may have taken over the address of another one while the list still names both. What
+        // is meant for the other one must not reach it.
+        if before.as_ref().is_none_or(|before| before.address != listed.address) {
+            let has_same_address =
+                |(_, s): &(&SwitchId, &Switch)| s.has_address() && s.listed.address == listed.address;
+            let others = self.switches.by_id.iter().filter(|(other, _)| **other != id);
+            let displaced: Vec<SwitchId> = others.filter(has_same_address).map(|(other, _)| *other).collect();
+            for other in displaced {
+                log(&format!(
+                    "switch {} has the address of another switch, which is taken to be gone",
+                    listed.name
+                ));
+                self.close_switch_connection(other);
                 self.call_control.handle_switch_down(now, other, now);
-                if let Some(s) = self.switches.switches.get_mut(&other) {
-                    s.host.address = None;
+                if let Some(other) = self.switches.by_id.get_mut(&other) {
+                    other.listed.address = None;
                 }
             }
         }
-        let closed = State::Closed { retry_at: now };
-        let switch = self.switches.switches.entry(id).or_insert_with(|| {
-            log(&format!("switch {} is exchange {} of number {}", host.name, id.0, host.number));
+        let switch = self.switches.by_id.entry(id).or_insert_with(|| {
+            log(&format!(
+                "switch {} has id {} and serves exchange {}",
+                listed.name, id.0, listed.exchange_number
+            ));
             Switch {
-                host: host.clone(),
-                state: closed,
-                waiting: vec![],
-                debts: vec![],
-                retry: RETRY.0,
-                last_heard: now,
-                watch_at: now,
-                lost_since: None,
-                trial: None,
-                retired: None,
-                heard: false,
+                listed: listed.clone(),
+                state: ConnectionState::Closed { reconnect_at: now },
+                queued_set_ups: vec![],
+                pending_releases: vec![],
+                reconnect_delay: MIN_RECONNECT_DELAY,
+                silent_since: now,
+                next_check_at: now,
+                unreachable_since: None,
+                candidate: None,
+                replaced: None,
+                initial_state_known: false,
             }
         });
-        switch.host = host.clone();
-        let Some(before) = before else { return self.connect(id) };
-        if before.health != host.health {
-            log(&format!("switch {} is {:?}", host.name, host.health));
-        }
-        let restarted = host.up_since.filter(|up| before.up_since != Some(*up));
-        if let Some(up) = restarted {
-            // A process that has started anew knows nothing of older calls, whatever its machine told us.
-            self.call_control.handle_switch_down(now, id, up);
-        }
-        let switch = self.switches.switches.get(&id);
-        let stale = switch.is_some_and(|s| match &s.state {
-            State::Open(open) => restarted.is_some_and(|up| open.since < up),
+        switch.listed = listed.clone();
+        let Some(before) = before else { return self.connect_switch(id) };
+        if before.health != listed.health {
+            log(&format!("switch {} is {:?}", listed.name, listed.health));
+        }
+        let restarted_at = listed.up_since.filter(|up_since| before.up_since != Some(*up_since));
+        if let Some(restarted_at) = restarted_at {
+            // A restarted process has lost the calls from before its start, whatever state its machine left
+            // the connection in.
+            self.call_control.handle_switch_down(now, id, restarted_at);
+        }
+        let switch = self.switches.by_id.get(&id);
+        let opened_before_restart = switch.is_some_and(|switch| match &switch.state {
+            ConnectionState::Open(open) => restarted_at.is_some_and(|at| open.opened_at < at),
             _ => false,
         });
-        if stale || before.address != host.address {
-            self.drop_link(id);
+        if opened_before_restart || before.address != listed.address {
+            self.close_switch_connection(id);
         }
-        if stale || before.address != host.address {
-            self.connect(id);
+        if opened_before_restart || before.address != listed.address {
+            self.connect_switch(id);
         }
     }
 
-    /// A switch is gone for good: what stood there is over, nothing is owed to it, and its entry and its id go.
-    /// Switches come and go without end.
-    fn forget_switch(&mut self, now: Micros, id: SwitchId, name: &str) {
-        if self.switches.switches.contains_key(&id) {
+    /// Removes a switch that is gone for good. Its calls are over, its pending releases are dropped, and its
+    /// entry and its id are deleted: the number of switches that come and go has no limit.
+    fn remove_switch(&mut self, now: Micros, id: SwitchId, name: &str) {
+        if self.switches.by_id.contains_key(&id) {
             log(&format!("switch {name} is Gone"));
         }
-        self.drop_link(id);
+        self.close_switch_connection(id);
         self.call_control.handle_switch_down(now, id, now);
-        self.switches.switches.remove(&id);
-        self.switches.names.remove(name);
+        self.switches.by_id.remove(&id);
+        self.switches.ids_by_name.remove(name);
     }
 
-    /// A list that is whole names these switches: all others are gone.
-    pub(super) fn keep_hosts(&mut self, names: &[String]) {
+    /// Removes all switches that a full list does not name.
+    pub(super) fn remove_unlisted_switches(&mut self, listed_names: &[String]) {
         let now = self.clock.now();
-        let gone = self.switches.names.iter().filter(|(name, _)| !names.contains(name));
-        let gone: Vec<(String, SwitchId)> = gone.map(|(name, id)| (name.clone(), *id)).collect();
-        gone.into_iter().for_each(|(name, id)| self.forget_switch(now, id, &name));
+        let unlisted = self.switches.ids_by_name.iter().filter(|(name, _)| !listed_names.contains(name));
+        let unlisted: Vec<(String, SwitchId)> = unlisted.map(|(name, id)| (name.clone(), *id)).collect();
+        unlisted.into_iter().for_each(|(name, id)| self.remove_switch(now, id, &name));
     }
 
-    /// Sends a set-up: at once, or when the connection is up.
-    pub(super) fn send_set_up(&mut self, id: SwitchId, tag: Tag, mut message: Message, until: Micros) {
+    /// Sends a set-up, or queues it until the connection is established.
+    pub(super) fn send_set_up(&mut self, id: SwitchId, tag: Tag, mut message: Message, deadline: Micros) {
         let now = self.clock.now();
-        let Some(switch) = self.switches.switches.get_mut(&id).filter(|s| s.wanted()) else {
+        let Some(switch) = self.switches.by_id.get_mut(&id).filter(|switch| switch.has_address()) else {
             return self.call_control.fail_unsent_set_ups(id, &[tag]);
         };
-        if let State::Open(open) = &switch.state
-            && about_to_close(now - open.used, self.switches.keepalive)
+        if let ConnectionState::Open(open) = &switch.state
+            && is_idle_close_imminent(now - open.last_used_at, self.switches.idle_timeout)
         {
-            // Guards against a set-up that crosses the close of an idle connection and is lost with it. It is
-            // the only one that is out, and not yet on any connection.
-            self.end_link(id, now, now - 1);
-        }
-        let Some(switch) = self.switches.switches.get_mut(&id) else { return };
-        if let State::Open(open) = &mut switch.state {
-            open.used = now;
-            open.asked.get_or_insert(now);
-            if !left(&mut message, until - now).encode(open.link.output_buffer()) {
-                log(&format!("set-up {tag:016x} is too long to be passed on"));
+            // If the switch closed the idle connection while the set-up is on its way, the set-up would be
+            // lost. Its attempt, which is the only one out at the switch, counts as sent at `now`, but has
+            // not been sent on any connection yet: the end of this connection must not end it.
+            self.end_switch_connection(id, now, now - 1);
+        }
+        let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
+        if let ConnectionState::Open(open) = &mut switch.state {
+            open.last_used_at = now;
+            open.awaiting_response_since.get_or_insert(now);
+            if !set_time_left(&mut message, deadline - now).encode(open.connection.output_buffer()) {
+                log(&format!("set-up {tag:016x} is not sent: it exceeds the size limit of a message"));
                 let release = Release {
                     cause: cause::RESOURCE_UNAVAILABLE,
                     note: EndReason::Unknown,
@@ -329,334 +377,393 @@
             }
             return;
         }
-        switch.waiting.push((tag, message, until));
-        self.connect(id);
+        switch.queued_set_ups.push(QueuedSetUp { tag, message, deadline });
+        self.connect_switch(id);
     }
 
-    /// Starts to connect to a switch that has no connection.
-    fn connect(&mut self, id: SwitchId) {
+    /// Starts to connect to a switch, unless there is a connection or none can be made.
+    fn connect_switch(&mut self, id: SwitchId) {
         let now = self.clock.now();
-        let until = now + self.switches.connect_timeout;
-        let Some(switch) = self.switches.switches.get_mut(&id) else { return };
-        let State::Closed { .. } = switch.state else { return };
-        let Some(address) = switch.host.address.filter(|_| switch.wanted()) else { return };
-        match Connection::connect(&self.switches.handle, address, self.switches.most_unsent, move |node| {
-            node.switch_ready(id)
+        let deadline = now + self.switches.connect_timeout;
+        let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
+        let ConnectionState::Closed { .. } = switch.state else { return };
+        let Some(address) = switch.listed.address else { return };
+        let max_unsent_bytes = self.switches.max_unsent_bytes;
+        match Connection::connect(&self.switches.handle, address, max_unsent_bytes, move |node| {
+            node.handle_switch_readiness(id);
         }) {
-            Ok(link) => {
-                switch.state = State::Connecting { link, until };
-                self.call_control.timers.push(until, TimerEvent::SwitchConnection(id));
+            Ok(connection) => {
+                switch.state = ConnectionState::Connecting { connection, deadline };
+                self.call_control.timers.push(deadline, TimerEvent::SwitchConnection(id));
             }
-            Err(e) => self.not_connected(id, &e.to_string()),
+            Err(error) => self.handle_connect_failure(id, &error.to_string()),
         }
     }
 
-    /// No connection came up.
-    fn not_connected(&mut self, id: SwitchId, why: &str) {
+    /// An attempt to connect to a switch has failed.
+    fn handle_connect_failure(&mut self, id: SwitchId, reason: &str) {
         let now = self.clock.now();
-        let Some(switch) = self.switches.switches.get_mut(&id) else { return };
-        if switch.lost_since.is_none() {
-            log(&format!("switch {} cannot be reached: {why}", switch.host.name));
-        }
-        switch.heard = true;
-        let since = *switch.lost_since.get_or_insert(now);
-        let retry_at = now + switch.retry;
-        switch.retry = (switch.retry * 2).min(RETRY.1);
-        self.close_link(id, retry_at);
-        if now - since >= DEAD_AFTER {
+        let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
+        if switch.unreachable_since.is_none() {
+            log(&format!("switch {} cannot be reached: {reason}", switch.listed.name));
+        }
+        switch.initial_state_known = true;
+        let unreachable_since = *switch.unreachable_since.get_or_insert(now);
+        let reconnect_at = now + switch.reconnect_delay;
+        switch.reconnect_delay = (switch.reconnect_delay * 2).min(MAX_RECONNECT_DELAY);
+        self.close_switch_connection_until(id, reconnect_at);
+        if now - unreachable_since >= UNREACHABLE_TIMEOUT {
             self.call_control.handle_switch_down(now, id, now);
         }
     }
 
-    /// Looks after a connection that is open: has the switch been silent on it for too long?
-    fn watch(&mut self, id: SwitchId) {
+    /// Checks whether the switch responds on its open connection, and tries or uses a candidate connection if
+    /// it does not.
+    fn check_open_connection(&mut self, id: SwitchId) {
         let now = self.clock.now();
-        let (used, oldest) =
-            (self.call_control.has_calls_at(id), self.call_control.oldest_attempt_sent_at(id));
-        let Some(switch) = self.switches.switches.get_mut(&id) else { return };
-        let State::Open(open) = &switch.state else { return };
-        // One that has come in place of another is not looked at twice as often.
-        if now < switch.watch_at {
+        let has_calls = self.call_control.has_calls_at(id);
+        let oldest_attempt_sent_at = self.call_control.oldest_attempt_sent_at(id);
+        let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
+        let ConnectionState::Open(open) = &switch.state else { return };
+        // Timers cannot be cancelled: without this condition, those of an earlier connection would add to the
+        // checks of this one.
+        if now < switch.next_check_at {
             return;
         }
-        switch.watch_at = now + WATCH;
-        self.call_control.timers.push(switch.watch_at, TimerEvent::SwitchConnection(id));
-        // One that takes connections and says nothing is not waited for.
-        switch.heard |= now >= open.since + SILENCE;
-        let stuck = open.asked.is_some_and(|asked| now >= asked + STUCK) && switch.retired.is_none();
-        if !used {
-            switch.last_heard = now;
-        }
-        if switch.retired.as_ref().is_some_and(|r| now >= r.at + RETIRED || oldest.is_none_or(|o| o >= r.at))
-        {
-            self.close_retired(id);
-        }
-        let Some(switch) = self.switches.switches.get_mut(&id) else { return };
-        let silent = now - switch.last_heard;
-        match &switch.trial {
-            Some(trial) if !trial.up && now < trial.until => return,
-            Some(trial) if trial.spoke.is_some() && stuck => return self.replace_link(id),
-            Some(trial) if trial.up && silent < SILENCE => return,
-            None if !stuck && silent < SILENCE => return,
-            _ => self.close_trial(id),
-        }
-        if silent >= SILENCE + DEAD_AFTER {
-            return self.silent_for_good(id);
-        }
-        let Some(switch) = self.switches.switches.get_mut(&id) else { return };
-        let Some(address) = switch.host.address else { return };
-        let until = now + self.switches.connect_timeout;
-        let most = self.switches.most_unsent;
-        match Connection::connect(&self.switches.handle, address, most, move |node| node.switch_ready(id)) {
-            Ok(link) => switch.trial = Some(Trial { link, since: now, until, up: false, spoke: None }),
-            Err(e) => log(&format!("switch {} refuses a new connection: {e}", switch.host.name)),
+        switch.next_check_at = now + CHECK_INTERVAL;
+        self.call_control.timers.push(switch.next_check_at, TimerEvent::SwitchConnection(id));
+        // A switch that accepts connections and sends nothing must not keep the gatekeeper from being ready.
+        switch.initial_state_known |= now >= open.opened_at + SILENCE_TIMEOUT;
+        let is_unresponsive =
+            open.awaiting_response_since.is_some_and(|since| now >= since + RESPONSE_TIMEOUT)
+                && switch.replaced.is_none();
+        if !has_calls {
+            switch.silent_since = now;
+        }
+        if switch.replaced.as_ref().is_some_and(|replaced| {
+            now >= replaced.replaced_at + REPLACED_CONNECTION_RETENTION
+                || oldest_attempt_sent_at.is_none_or(|sent_at| sent_at >= replaced.replaced_at)
+        }) {
+            self.close_replaced_connection(id);
+        }
+        let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
+        let silent_for = now - switch.silent_since;
+        match &switch.candidate {
+            Some(candidate) if !candidate.is_established && now < candidate.deadline => return,
+            Some(candidate) if candidate.first_message_delay.is_some() && is_unresponsive => {
+                return self.replace_open_connection(id);
+            }
+            Some(candidate) if candidate.is_established && silent_for < SILENCE_TIMEOUT => return,
+            None if !is_unresponsive && silent_for < SILENCE_TIMEOUT => return,
+            _ => self.close_candidate_connection(id),
+        }
+        if silent_for >= SILENCE_TIMEOUT + UNREACHABLE_TIMEOUT {
+            return self.handle_silent_switch(id);
+        }
+        let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
+        let Some(address) = switch.listed.address else { return };
+        let deadline = now + self.switches.connect_timeout;
+        let max_unsent_bytes = self.switches.max_unsent_bytes;
+        match Connection::connect(&self.switches.handle, address, max_unsent_bytes, move |node| {
+            node.handle_switch_readiness(id);
+        }) {
+            Ok(connection) => {
+                switch.candidate = Some(CandidateConnection {
+                    connection,
+                    started_at: now,
+                    deadline,
+                    is_established: false,
+                    first_message_delay: None,
+                });
+            }
+            Err(error) => {
+                log(&format!("switch {}: a second connection cannot be opened: {error}", switch.listed.name));
+            }
         }
     }
 
-    /// A switch has been silent, and no new connection came up.
-    fn silent_for_good(&mut self, id: SwitchId) {
+    /// A switch has been silent for too long, and no candidate connection could be established.
+    fn handle_silent_switch(&mut self, id: SwitchId) {
         let now = self.clock.now();
-        let Some(switch) = self.switches.switches.get_mut(&id) else { return };
-        log(&format!("switch {} is silent and no new connection comes up", switch.host.name));
-        // The time of its silence counts: nothing is gained by waiting for refusals as well.
-        switch.lost_since = Some(switch.last_heard);
-        self.close_link(id, now);
+        let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
+        log(&format!(
+            "switch {} is silent and no new connection to it can be established",
+            switch.listed.name
+        ));
+        // The time of the silence counts as time in which the switch was unreachable: the calls are not kept
+        // until attempts to connect have failed for the same time again.
+        switch.unreachable_since = Some(switch.silent_since);
+        self.close_switch_connection_until(id, now);
         self.call_control.handle_switch_down(now, id, now);
     }
 
-    /// The second connection takes the place of one on which nothing comes any more, though the switch lives.
-    /// Guards against a connection that has failed and stays open: set-ups would go there for good, unanswered.
-    fn replace_link(&mut self, id: SwitchId) {
+    /// Puts the candidate connection in the place of an open connection on which nothing is received any more
+    /// although the switch is running. Without this, set-ups would be sent on a failed connection that stays
+    /// open, and never be answered.
+    fn replace_open_connection(&mut self, id: SwitchId) {
         let now = self.clock.now();
-        let Some(switch) = self.switches.switches.get_mut(&id) else { return };
-        let Some(trial) = switch.trial.take() else { return };
-        log(&format!("switch {}: set-ups stay unanswered; a new connection takes over", switch.host.name));
-        let open = State::Open(Open::new(trial.link, now));
-        if let State::Open(old) = std::mem::replace(&mut switch.state, open) {
-            switch.retired = Some(Retired { link: old.link, at: now });
-            // It was the connection that failed, unless the one before it never served either.
-            let took = trial.spoke.filter(|_| old.served);
-            took.into_iter().for_each(|took| self.call_control.handle_switch_responsive(id, took));
+        let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
+        let Some(candidate) = switch.candidate.take() else { return };
+        log(&format!("switch {}: set-ups are not answered; a new connection takes over", switch.listed.name));
+        let open = ConnectionState::Open(OpenConnection::new(candidate.connection, now));
+        if let ConnectionState::Open(old) = std::mem::replace(&mut switch.state, open) {
+            switch.replaced = Some(ReplacedConnection { connection: old.connection, replaced_at: now });
+            // The old connection was at fault only if the switch had responded on it before. If it never did,
+            // the switch itself may be at fault.
+            let response_time = candidate.first_message_delay.filter(|_| old.has_responded);
+            if let Some(response_time) = response_time {
+                self.call_control.handle_switch_responsive(id, response_time);
+            }
         }
     }
 
-    /// The one place where a connection that was replaced is given back, with the set-ups that are open on it.
-    fn close_retired(&mut self, id: SwitchId) {
-        let Some(switch) = self.switches.switches.get_mut(&id) else { return };
-        if let Some(retired) = switch.retired.take() {
-            retired.link.close(&self.switches.handle);
-            self.call_control.handle_connection_lost(id, retired.at);
+    /// Closes the replaced connection and ends the attempts that were sent on it. Replaced connections are
+    /// closed nowhere else.
+    fn close_replaced_connection(&mut self, id: SwitchId) {
+        let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
+        if let Some(replaced) = switch.replaced.take() {
+            replaced.connection.close(&self.switches.handle);
+            self.call_control.handle_connection_lost(id, replaced.replaced_at);
         }
     }
 
-    /// The one place where a second connection is given back.
-    fn close_trial(&mut self, id: SwitchId) {
-        let Some(switch) = self.switches.switches.get_mut(&id) else { return };
-        switch.trial.take().into_iter().for_each(|t| t.link.close(&self.switches.handle));
+    /// Closes the candidate connection. Candidate connections are closed nowhere else.
+    fn close_candidate_connection(&mut self, id: SwitchId) {
+        let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
+        if let Some(candidate) = switch.candidate.take() {
+            candidate.connection.close(&self.switches.handle);
+        }
     }
 
-    /// Reads a second connection and one that was replaced.
-    fn read_others(&mut self, id: SwitchId) {
+    /// Reads the candidate connection and the replaced connection.
+    fn read_additional_connections(&mut self, id: SwitchId) {
         let now = self.clock.now();
-        let Some(switch) = self.switches.switches.get_mut(&id) else { return };
-        if let Some(trial) = &mut switch.trial {
-            match trial.link.check_connected() {
+        let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
+        if let Some(candidate) = &mut switch.candidate {
+            match candidate.connection.check_connected() {
                 Ok(false) => {}
                 Ok(true) => {
-                    if !trial.up {
-                        (trial.up, switch.last_heard) = (true, now);
+                    if !candidate.is_established {
+                        candidate.is_established = true;
+                        switch.silent_since = now;
                     }
-                    let said = read_lines(&mut trial.link);
-                    if !said.0.is_empty() {
-                        trial.spoke.get_or_insert(now - trial.since);
+                    let input = read_messages(&mut candidate.connection);
+                    if !input.messages.is_empty() {
+                        candidate.first_message_delay.get_or_insert(now - candidate.started_at);
                     }
-                    if !self.heard_lines(now, id, said) {
-                        self.close_trial(id);
+                    if !self.handle_additional_input(now, id, input) {
+                        self.close_candidate_connection(id);
                     }
                 }
-                Err(_) => self.close_trial(id),
+                Err(_) => self.close_candidate_connection(id),
             }
         }
-        let Some(switch) = self.switches.switches.get_mut(&id) else { return };
-        if let Some(retired) = &mut switch.retired {
-            let said = read_lines(&mut retired.link);
-            if !self.heard_lines(now, id, said) {
-                self.close_retired(id);
+        let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
+        if let Some(replaced) = &mut switch.replaced {
+            let input = read_messages(&mut replaced.connection);
+            if !self.handle_additional_input(now, id, input) {
+                self.close_replaced_connection(id);
             }
         }
     }
 
-    /// Takes what a connection has said; false if it is over.
-    fn heard_lines(&mut self, now: Micros, id: SwitchId, (messages, result, progress): Said) -> bool {
-        let result = messages.into_iter().try_for_each(|m| self.heard_switch(now, id, m)).and(result);
-        if progress == ReadStatus::MorePossible {
+    /// Handles what was read from the candidate or the replaced connection. Returns false if that connection
+    /// must be closed.
+    fn handle_additional_input(&mut self, now: Micros, id: SwitchId, input: Input) -> bool {
+        let mut messages = input.messages.into_iter();
+        let result = messages.try_for_each(|message| self.handle_switch_message(now, id, message));
+        let result = result.and(input.decode_result);
+        if input.status == ReadStatus::MorePossible {
             self.unread.push(Unread::Switch(id));
         }
-        result.is_ok() && !matches!(progress, ReadStatus::EndOfStream | ReadStatus::Failed)
+        result.is_ok() && !matches!(input.status, ReadStatus::EndOfStream | ReadStatus::Failed)
     }
 
-    /// Drops the connection to a switch, if there is one, and with it what was open on it.
-    pub(super) fn drop_link(&mut self, id: SwitchId) {
+    /// Closes all connections to a switch and ends its attempts, as [`Node::end_switch_connection`] does. The
+    /// next attempt to connect is due at once.
+    pub(super) fn close_switch_connection(&mut self, id: SwitchId) {
         let now = self.clock.now();
-        self.close_link(id, now);
+        self.close_switch_connection_until(id, now);
     }
 
-    /// Closes the connection to a switch; the next is tried then.
-    fn close_link(&mut self, id: SwitchId, retry_at: Micros) {
+    /// Closes all connections to a switch and ends its attempts, as [`Node::end_switch_connection`] does. The
+    /// next attempt to connect is due at `reconnect_at`.
+    fn close_switch_connection_until(&mut self, id: SwitchId, reconnect_at: Micros) {
         let now = self.clock.now();
-        self.end_link(id, retry_at, now);
-    }
-
-    /// The one place where a connection to a switch is given back, with the set-ups that were sent up to then.
-    fn end_link(&mut self, id: SwitchId, retry_at: Micros, up_to: Micros) {
-        let Some(switch) = self.switches.switches.get_mut(&id) else { return };
-        match std::mem::replace(&mut switch.state, State::Closed { retry_at }) {
-            State::Open(open) => {
-                open.link.close(&self.switches.handle);
-                self.call_control.handle_connection_lost(id, up_to);
+        self.end_switch_connection(id, reconnect_at, now);
+    }
+
+    /// Closes all connections to a switch. Ends the attempts that were sent on the open one at `sent_until`
+    /// or earlier, those sent on the replaced one, and those whose set-ups are queued. The main connection is
+    /// closed nowhere else.
+    fn end_switch_connection(&mut self, id: SwitchId, reconnect_at: Micros, sent_until: Micros) {
+        let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
+        match std::mem::replace(&mut switch.state, ConnectionState::Closed { reconnect_at }) {
+            ConnectionState::Open(open) => {
+                open.connection.close(&self.switches.handle);
+                self.call_control.handle_connection_lost(id, sent_until);
             }
-            State::Connecting { link, .. } => link.close(&self.switches.handle),
-            State::Closed { .. } => {}
+            ConnectionState::Connecting { connection, .. } => connection.close(&self.switches.handle),
+            ConnectionState::Closed { .. } => {}
         }
-        self.close_trial(id);
-        self.close_retired(id);
-        let Some(switch) = self.switches.switches.get_mut(&id) else { return };
-        let waiting: Vec<Tag> = switch.waiting.drain(..).map(|w| w.0).collect();
-        self.call_control.fail_unsent_set_ups(id, &waiting);
-        self.call_control.timers.push(retry_at, TimerEvent::SwitchConnection(id));
+        self.close_candidate_connection(id);
+        self.close_replaced_connection(id);
+        let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
+        let queued: Vec<Tag> = switch.queued_set_ups.drain(..).map(|set_up| set_up.tag).collect();
+        self.call_control.fail_unsent_set_ups(id, &queued);
+        self.call_control.timers.push(reconnect_at, TimerEvent::SwitchConnection(id));
     }
 
-    /// Something is due on a switch's connection.
-    pub(super) fn link_due(&mut self, id: SwitchId) {
+    /// Handles an expired [`TimerEvent::SwitchConnection`].
+    pub(super) fn handle_switch_connection_timer(&mut self, id: SwitchId) {
         let now = self.clock.now();
-        match self.switches.switches.get(&id).map(|s| &s.state) {
-            Some(State::Connecting { until, .. }) if *until <= now => {
-                self.not_connected(id, "no connection in time");
+        match self.switches.by_id.get(&id).map(|switch| &switch.state) {
+            Some(ConnectionState::Connecting { deadline, .. }) if *deadline <= now => {
+                self.handle_connect_failure(id, "the attempt to connect timed out");
             }
-            Some(State::Closed { retry_at }) if *retry_at <= now => self.connect(id),
-            Some(State::Open(_)) => self.watch(id),
+            Some(ConnectionState::Closed { reconnect_at }) if *reconnect_at <= now => self.connect_switch(id),
+            Some(ConnectionState::Open(_)) => self.check_open_connection(id),
             _ => {}
         }
     }
 
-    /// Something has come on a switch's connection, or it has room again.
-    pub(super) fn switch_ready(&mut self, id: SwitchId) {
+    /// A connection to a switch has become readable or writable, or has failed.
+    pub(super) fn handle_switch_readiness(&mut self, id: SwitchId) {
         let now = self.clock.now();
-        let Some(switch) = self.switches.switches.get_mut(&id) else { return };
-        if let State::Connecting { link, .. } = &switch.state {
-            match link.check_connected() {
+        let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
+        if let ConnectionState::Connecting { connection, .. } = &switch.state {
+            match connection.check_connected() {
                 Ok(false) => return,
-                Ok(true) => self.link_up(id),
-                Err(e) => return self.not_connected(id, &e.to_string()),
+                Ok(true) => self.handle_connection_established(id),
+                Err(error) => return self.handle_connect_failure(id, &error.to_string()),
             }
         }
-        self.read_others(id);
-        let Some(switch) = self.switches.switches.get_mut(&id) else { return };
-        let State::Open(open) = &mut switch.state else { return };
-        let (messages, result, progress) = read_lines(&mut open.link);
-        if !messages.is_empty() {
-            open.asked = None;
-        }
-        open.served |= messages.iter().any(|m| m.verb != "LOAD");
-        let name = switch.host.name.clone();
-        let result = messages.into_iter().try_for_each(|m| self.heard_switch(now, id, m)).and(result);
-        if let Err(what) = result {
-            log(&format!("switch {name} sent {what}: its connection is closed"));
-            return self.close_link(id, now + RETRY.0);
-        }
-        match progress {
+        self.read_additional_connections(id);
+        let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
+        let ConnectionState::Open(open) = &mut switch.state else { return };
+        let input = read_messages(&mut open.connection);
+        if !input.messages.is_empty() {
+            open.awaiting_response_since = None;
+        }
+        open.has_responded |= input.messages.iter().any(|message| message.verb != "LOAD");
+        let name = switch.listed.name.clone();
+        let mut messages = input.messages.into_iter();
+        let result = messages.try_for_each(|message| self.handle_switch_message(now, id, message));
+        if let Err(error) = result.and(input.decode_result) {
+            log(&format!("switch {name} sent {error}: its connection is closed"));
+            return self.close_switch_connection_until(id, now + MIN_RECONNECT_DELAY);
+        }
+        match input.status {
             ReadStatus::WouldBlock => {}
             ReadStatus::MorePossible => self.unread.push(Unread::Switch(id)),
             ReadStatus::EndOfStream | ReadStatus::Failed => {
-                let how = if progress == ReadStatus::EndOfStream { "closed" } else { "reset" };
-                log(&format!("switch {name}: the connection was {how}"));
-                self.close_link(id, now);
+                let closed_by_switch = input.status == ReadStatus::EndOfStream;
+                let outcome = if closed_by_switch { "was closed by the switch" } else { "failed" };
+                log(&format!("switch {name}: the connection {outcome}"));
+                self.close_switch_connection_until(id, now);
             }
         }
     }
 
-    /// A connection has come up: the set-ups that waited for it go out.
-    fn link_up(&mut self, id: SwitchId) {
+    /// A connection to a switch has been established: sends the pending releases and the queued set-ups.
+    fn handle_connection_established(&mut self, id: SwitchId) {
         let now = self.clock.now();
-        let Some(switch) = self.switches.switches.get_mut(&id) else { return };
-        (switch.retry, switch.lost_since, switch.last_heard) = (RETRY.0, None, now);
-        switch.watch_at = now + WATCH;
-        self.call_control.timers.push(switch.watch_at, TimerEvent::SwitchConnection(id));
-        let state = std::mem::replace(&mut switch.state, State::Closed { retry_at: now });
-        if let State::Connecting { link, .. } = state {
-            switch.state = State::Open(Open::new(link, now));
-        }
-        let (debts, waiting) = (std::mem::take(&mut switch.debts), std::mem::take(&mut switch.waiting));
-        for tag in debts {
-            self.switches.write(id, &finish(tag));
-        }
-        for (tag, message, until) in waiting {
-            self.send_set_up(id, tag, message, until);
-        }
-    }
-
-    fn heard_switch(&mut self, now: Micros, id: SwitchId, message: Message) -> Result<(), &'static str> {
-        if let Some(switch) = self.switches.switches.get_mut(&id) {
-            (switch.heard, switch.last_heard) = (true, now);
+        let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
+        switch.reconnect_delay = MIN_RECONNECT_DELAY;
+        switch.unreachable_since = None;
+        switch.silent_since = now;
+        switch.next_check_at = now + CHECK_INTERVAL;
+        self.call_control.timers.push(switch.next_check_at, TimerEvent::SwitchConnection(id));
+        let state = std::mem::replace(&mut switch.state, ConnectionState::Closed { reconnect_at: now });
+        if let ConnectionState::Connecting { connection, .. } = state {
+            switch.state = ConnectionState::Open(OpenConnection::new(connection, now));
+        }
+        let pending_releases = std::mem::take(&mut switch.pending_releases);
+        let queued_set_ups = std::mem::take(&mut switch.queued_set_ups);
+        for tag in pending_releases {
+            self.switches.write_message(id, &release_message(tag));
+        }
+        for set_up in queued_set_ups {
+            self.send_set_up(id, set_up.tag, set_up.message, set_up.deadline);
+        }
+    }
+
+    /// Handles a message from a switch, whichever of its connections it was received on.
+    ///
+    /// # Errors
+    /// Describes what is malformed.
+    fn handle_switch_message(
+        &mut self, now: Micros, id: SwitchId, message: Message,
+    ) -> Result<(), &'static str> {
+        if let Some(switch) = self.switches.by_id.get_mut(&id) {
+            switch.initial_state_known = true;
+            switch.silent_since = now;
         }
         if message.verb == "LOAD" {
             self.call_control.handle_load_report(id, message.load_report());
             return Ok(());
         }
-        let tag = message.call_reference().ok_or("a message about no call")?;
-        if let Some(State::Open(open)) = self.switches.switches.get_mut(&id).map(|s| &mut s.state) {
-            open.used = now;
+        let tag = message.call_reference().ok_or("a message without a valid tag")?;
+        if let Some(ConnectionState::Open(open)) = self.switches.by_id.get_mut(&id).map(|s| &mut s.state) {
+            open.last_used_at = now;
         }
         match message.verb.as_str() {
             "STARTED" => self.call_control.handle_answer(now, id, tag, message.session_description),
             "FINISH" => {
-                let (note, report) = (message.release_reason(), message.load_report());
+                let note = message.release_reason();
+                let report = message.load_report();
                 let cause = message.result_code.ok_or("a release without a cause")?;
                 self.call_control.handle_switch_release(now, id, tag, Release { cause, note, report });
-                self.switches.write(id, &Message::new("FINISHED", tag));
+                self.switches.write_message(id, &Message::new("FINISHED", tag));
+            }
+            "ECHOED" => {
+                let passed = message.result_code == Some(1);
+                self.call_control.handle_probe_result(now, tag, passed, message.load_report());
             }
-            "ECHOED" => self.call_control.handle_probe_result(
-                now,
-                tag,
-                message.result_code == Some(1),
-                message.load_report(),
-            ),
             _ => {}
         }
         Ok(())
     }
 }
 
-/// What was read at a time: the messages, what is wrong with what follows them, and how the reading went.
-type Said = (Vec<Message>, Result<(), &'static str>, ReadStatus);
+/// What was read from a connection at one time.
+struct Input {
+    messages: Vec<Message>,
+    /// The decoder's error if malformed input follows the messages.
+    decode_result: Result<(), &'static str>,
+    status: ReadStatus,
+}
 
-fn read_lines(link: &mut Connection) -> Said {
-    let progress = link.read();
-    let (messages, result) = link.decode_messages(lines::decode);
-    (messages, result, progress)
+fn read_messages(connection: &mut Connection) -> Input {
+    let status = connection.read();
+    let (messages, decode_result) = connection.decode_messages(lines::decode);
+    Input { messages, decode_result, status }
 }
 
-/// Whether a connection that has been idle for so long may be closed before a set-up gets there.
-fn about_to_close(idle: Micros, keepalive: Micros) -> bool {
-    idle >= keepalive - (keepalive / 4).min(1_000_000)
+/// Returns true if a connection that has been idle for `idle_time` may be closed by its switch before a
+/// set-up sent now arrives there.
+fn is_idle_close_imminent(idle_time: Micros, idle_timeout: Micros) -> bool {
+    idle_time >= idle_timeout - (idle_timeout / 4).min(MAX_IDLE_CLOSE_MARGIN)
 }
 
-/// Gives a set-up up, or releases a call.
-fn finish(tag: Tag) -> Message {
+/// Creates the release of an attempt or of an answered call.
+fn release_message(tag: Tag) -> Message {
     Message { result_code: Some(cause::NORMAL_CLEARING), ..Message::new("FINISH", tag) }
 }
 
-/// A set-up with the time that is left for it, in whole milliseconds.
-fn left(message: &mut Message, left: Micros) -> &Message {
-    message.fields.insert("left".into(), (left / 1000).max(1).to_string().into());
+/// Sets the time left until the attempt times out, in whole milliseconds and at least 1.
+fn set_time_left(message: &mut Message, time_left: Micros) -> &Message {
+    message.fields.insert("left".into(), (time_left / 1000).max(1).to_string().into());
     message
 }
 
-/// The set-up of a call.
-pub fn set_up(tag: Tag, class: String, called: String, description: Option<String>) -> Message {
+/// Creates a set-up, without the time left, which is added when it is sent.
+pub fn set_up_message(
+    tag: Tag, class: String, called_number: String, description: Option<String>,
+) -> Message {
     let mut message = Message { session_description: description, ..Message::new("START", tag) };
     message.fields.insert("class".into(), class.into());
-    message.fields.insert("key".into(), called.into());
+    message.fields.insert("key".into(), called_number.into());
     message
 }
 
@@ -665,18 +772,20 @@
     use super::*;
 
     #[test]
-    fn an_idle_connection_is_replaced_shortly_before_its_switch_closes_it() {
-        let (second, keepalive) = (1_000_000, 600_000_000);
-        assert!(!about_to_close(keepalive - second - 1, keepalive));
-        assert!(about_to_close(keepalive - second, keepalive) && about_to_close(keepalive * 2, keepalive));
-        assert!(!about_to_close(second, 2 * second) && about_to_close(2 * second, 2 * second));
+    fn idle_connections_are_replaced_shortly_before_the_switch_closes_them() {
+        let second = 1_000_000;
+        let long = 600_000_000;
+        assert!(!is_idle_close_imminent(long - second - 1, long));
+        assert!(is_idle_close_imminent(long - second, long) && is_idle_close_imminent(long * 2, long));
+        let short = 2 * second;
+        assert!(!is_idle_close_imminent(second, short) && is_idle_close_imminent(short, short));
     }
 
     #[test]
-    fn a_set_up_names_the_time_that_is_left_in_whole_milliseconds() {
-        let mut message = set_up(7, "check".into(), "12".into(), None);
-        for (span, text) in [(1_500_900, "1500"), (900, "1"), (-5_000, "1")] {
-            assert_eq!(left(&mut message, span).field_text("left").as_deref(), Some(text));
+    fn set_ups_state_the_time_left_in_whole_milliseconds() {
+        let mut message = set_up_message(7, "check".into(), "12".into(), None);
+        for (time_left, text) in [(1_500_900, "1500"), (900, "1"), (-5_000, "1")] {
+            assert_eq!(set_time_left(&mut message, time_left).field_text("left").as_deref(), Some(text));
         }
     }
 }
