--- a/src/net/feed.rs
+++ b/src/net/feed.rs
@@ -2,7 +2,7 @@
 
 use super::lines;
 use super::link::{Connection, DecodeResult, ReadStatus};
-use super::switches::Host;
+use super::switches::ListedSwitch;
 use super::{Gatekeeper, PendingRead, log};
 use crate::call::TimerEvent;
 use crate::clock::Clock;
@@ -68,11 +68,11 @@
 }
 
 impl ListEntry {
-    fn to_host(&self, clock: &Clock) -> Host {
-        Host {
+    fn to_host(&self, clock: &Clock) -> ListedSwitch {
+        ListedSwitch {
             name: self.name.clone(),
             address: self.address.parse().ok(),
-            number: self.exchange_number,
+            exchange_number: self.exchange_number,
             health: match self.health {
                 EntryHealth::Serving => Health::InService,
                 EntryHealth::Draining => Health::Draining,
@@ -327,10 +327,10 @@
             };
             let host = entry.to_host(&self.clock);
             let zone = self.call_control.zone_index(&entry.zone);
-            let exchange_number = host.number;
+            let exchange_number = host.exchange_number;
             let health = host.health;
             let up_since = host.up_since;
-            let switch = self.switches.id(&host.name, health);
+            let switch = self.switches.get_or_assign_id(&host.name, health);
             switch_entries.extend(switch.map(|switch| SwitchEntry {
                 switch,
                 zone,
@@ -339,10 +339,10 @@
                 up_since,
             }));
             listed_names.push(host.name.clone());
-            self.host(host);
+            self.update_switch(host);
         }
         if change.is_full {
-            self.keep_hosts(&listed_names);
+            self.remove_unlisted_switches(&listed_names);
         }
         self.call_control.handle_switch_list(if change.is_full {
             SwitchListUpdate::Full(switch_entries)
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -297,7 +297,7 @@
         let now = self.clock.now();
         while let Some(event) = self.call_control.timers.pop_due(now) {
             match event {
-                TimerEvent::SwitchConnection(switch) => self.link_due(switch),
+                TimerEvent::SwitchConnection(switch) => self.handle_switch_connection_timer(switch),
                 TimerEvent::ControlFeed => self.handle_feed_timer(),
                 TimerEvent::CallerMaintenance => self.look_after_callers(),
                 TimerEvent::Shutdown => {
@@ -310,7 +310,7 @@
         }
         self.call_control.run_batch(now);
         self.execute_commands();
-        if !self.ready && self.switches.all_heard() {
+        if !self.ready && self.switches.all_initial_states_known() {
             self.ready = true;
             log("ready");
         }
@@ -332,7 +332,7 @@
         for pending_read in std::mem::take(&mut self.pending_reads) {
             match pending_read {
                 PendingRead::Caller(connection) => self.caller_ready(connection),
-                PendingRead::Switch(switch) => self.switch_ready(switch),
+                PendingRead::Switch(switch) => self.handle_switch_readiness(switch),
                 PendingRead::Feed => self.handle_feed_readiness(),
             }
         }
@@ -345,11 +345,11 @@
             for command in std::mem::take(&mut self.call_control.commands) {
                 match command {
                     Command::SetUp { switch, tag, class, called_number, deadline, description } => {
-                        let message = switches::set_up(tag, class, called_number, description);
+                        let message = switches::set_up_message(tag, class, called_number, description);
                         self.send_set_up(switch, tag, message, deadline);
                     }
-                    Command::ReleaseAtSwitch { switch, tag } => self.switches.give_up(switch, tag),
-                    Command::ReleaseAtAllSwitches(tag) => self.switches.give_up_anywhere(tag),
+                    Command::ReleaseAtSwitch { switch, tag } => self.switches.release(switch, tag),
+                    Command::ReleaseAtAllSwitches(tag) => self.switches.release_at_all(tag),
                     Command::Probe { switch, tag } => self.switches.probe(switch, tag),
                     Command::Answer { connection, tag, description } => {
                         self.callers.answer(now, connection, tag, description);
@@ -375,7 +375,7 @@
             self.close_caller(connection);
         }
         for switch in self.switches.flush() {
-            self.drop_link(switch);
+            self.close_switch_connection(switch);
         }
         if !self.feed.flush() {
             self.close_feed("connection failed", 0);
