--- a/src/net/callers.rs
+++ b/src/net/callers.rs
@@ -1,4 +1,5 @@
-//! The caller side: the listener and the connections of callers, on which binary messages are spoken.
+//! The callers' side of the network: the listening socket and the connections of callers, which speak the
+//! binary protocol.
 
 use super::binary::{self, Message, message_type, parameter_code};
 use super::link::{Connection, ReadStatus};
@@ -12,465 +13,545 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
 /// Most releases that wait for a caller to connect.
-const MOST_WAITING: usize = 65_536;
-/// Connections taken from the listener in a turn: those of a flood are read, and the useless ones told from the
-/// others, before more are taken.
-const ACCEPTS: usize = 16;
-/// How often connections are looked after.
-const LOOK: Micros = 250_000;
-/// A connection that has brought nothing of use by then is closed, and so is one on which part of a message has
-/// waited for so long for the rest.
-const PATIENCE: Micros = 2_000_000;
-/// One without an open set-up on which nothing has come for so long is closed. Callers close theirs after 4 s.
-const IDLE: Micros = 5_000_000;
-/// A release waits for so long for a caller known to make sense before any connection will do.
-const RELEASE_WAIT: Micros = 500_000;
-/// A connection that has sent so many messages that make no sense is closed.
-const STRIKES: u32 = 16;
-/// So is one that has withdrawn so many calls that are not known here. After a restart all that stood before are.
-const STRANGE: u32 = 1024;
-/// Set-ups that may be open on a connection on which no call has stood yet. More come only from one that sends
-/// without looking at what it is answered.
-const UNPROVEN: usize = 128;
-
-/// What is known of a caller.
+const MAX_PENDING_RELEASES: usize = 65_536;
+/// Most connections that are accepted in one iteration of the event loop. In a flood of connections, those
+/// already accepted are read, and the unused ones recognised, before more are accepted.
+const MAX_ACCEPTS_PER_ITERATION: usize = 16;
+/// Time between two checks of the callers' connections.
+const MAINTENANCE_INTERVAL: Micros = 250_000;
+/// A connection at [`TrustLevel::Unknown`] is closed after this time without activity, and any connection if
+/// the rest of a message is still missing this long after its first part.
+const RECEIVE_TIMEOUT: Micros = 2_000_000;
+/// A connection at a higher trust level is closed after this time without activity, unless it has an
+/// unanswered set-up. Callers close their idle connections after 4 s.
+const IDLE_TIMEOUT: Micros = 5_000_000;
+/// A release that has waited this long for a connection at [`TrustLevel::ValidMessage`] or higher is
+/// sent on any connection.
+const RELEASE_FALLBACK_DELAY: Micros = 500_000;
+/// A connection is closed when it has sent this many set-ups that are invalid or have a tag that is in use.
+const SET_UP_ERROR_LIMIT: u32 = 16;
+/// A connection that releases more unknown calls than this is closed. After a restart of the gatekeeper, all
+/// calls that were set up before it are unknown.
+const MAX_UNKNOWN_RELEASES: u32 = 1024;
+/// Most unanswered set-ups on a connection on which no call has been answered yet. Only a caller that sends
+/// without reading the replies exceeds it.
+const MAX_UNPROVEN_SET_UPS: usize = 128;
+/// Longest called number that a set-up may have.
+const MAX_CALLED_NUMBER_BYTES: usize = 64;
+/// Largest absolute value of an integer among the routing attributes of a set-up.
+const MAX_ROUTING_INTEGER: f64 = 1e9;
+
+/// How far a connection is known to belong to a working caller, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Trust {
-    /// It has said nothing of use.
-    None,
-    /// It has sent a message that makes sense.
-    Sound,
-    /// A call of its stood.
-    Proven,
+enum TrustLevel {
+    /// It has brought nothing that shows a working caller.
+    Unknown,
+    /// It has brought a set-up that was accepted, or a health check.
+    ValidMessage,
+    /// A call that was set up on it has been answered.
+    AnsweredCall,
+}
+
+/// A connection from a caller.
+struct CallerConnection {
+    connection: Connection,
+    /// The caller has finished sending. The connection is closed once its set-ups have their final answers
+    /// and all output is sent.
+    half_closed: bool,
+    trust: TrustLevel,
+    /// When the last set-up that was accepted, health check or release was received, or the last answer was
+    /// sent; before that, when the connection was accepted.
+    last_active_at: Micros,
+    /// Since when the input buffer has held an incomplete message.
+    incomplete_since: Option<Micros>,
+    /// Number of set-ups that were invalid or had a tag that was in use.
+    set_up_errors: u32,
+    /// Number of releases of unknown calls.
+    unknown_releases: u32,
+}
+
+/// A health check that has not been answered.
+struct HealthCheck {
+    connection_id: ConnectionId,
+    tag: Tag,
 }
 
-struct Caller {
-    link: Connection,
-    /// It has finished sending: it is closed once nothing is owed on it.
-    ended: bool,
-    trust: Trust,
-    /// When something of use last came, or the connection itself.
-    used: Micros,
-    /// Since when part of a message has waited for the rest.
-    part: Option<Micros>,
-    strikes: u32,
-    strange: u32,
+/// A release that waits for a connection to send it on.
+#[derive(Clone, Copy)]
+struct PendingRelease {
+    tag: Tag,
+    cause: u8,
+    waiting_since: Micros,
 }
 
 /// All connections from callers.
 pub struct Callers {
-    handle: LoopHandle<'static, Node>,
-    /// Most connections at a time, and most bytes unsent on one.
-    most: (usize, usize),
-    callers: BTreeMap<ConnectionId, Caller>,
-    last: u64,
-    /// Tests that came before the gatekeeper was ready.
-    tests: Vec<(ConnectionId, Tag)>,
-    /// Releases for which no caller was connected, and since when they wait.
-    releases: VecDeque<(Tag, u8, Micros)>,
-    /// Connections closed since the last log line about them: the last reason, and how many.
-    closed: (String, usize),
+    loop_handle: LoopHandle<'static, Node>,
+    max_connections: usize,
+    /// Limit on the output buffer of each connection.
+    max_unsent_bytes: usize,
+    connections: BTreeMap<ConnectionId, CallerConnection>,
+    last_connection_id: u64,
+    /// Health checks received before the gatekeeper was ready.
+    pending_health_checks: Vec<HealthCheck>,
+    /// Releases for which there was no suitable connection, oldest first.
+    pending_releases: VecDeque<PendingRelease>,
+    /// Number of connections closed with a reason since the last log line about them.
+    unlogged_closes: usize,
+    /// The reason for the last of these.
+    last_close_reason: String,
 }
 
 impl Callers {
-    /// Listens on an address for at most so many connections, each with so many bytes unsent at most.
+    /// Listens on an address. At most `max_connections` are open at the same time, each with at most
+    /// `max_unsent_bytes` in its output buffer.
     pub fn listen(
-        handle: LoopHandle<'static, Node>, at: SocketAddr, most: usize, most_unsent: usize,
+        loop_handle: LoopHandle<'static, Node>, address: SocketAddr, max_connections: usize,
+        max_unsent_bytes: usize,
     ) -> io::Result<Self> {
-        let listener = TcpListener::bind(at)?;
+        let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
         log(&format!("listening on {}", listener.local_addr()?));
         let source = Generic::new(listener, Interest::READ, Mode::Level);
-        let _: RegistrationToken = handle
+        let _: RegistrationToken = loop_handle
             .insert_source(source, |_, listener, node| {
-                node.accept(listener);
+                node.accept_callers(listener);
                 Ok(PostAction::Continue)
             })
-            .map_err(|e| io::Error::other(e.to_string()))?;
+            .map_err(|error| io::Error::other(error.to_string()))?;
         Ok(Callers {
-            handle,
-            most: (most, most_unsent),
-            callers: BTreeMap::new(),
-            last: 0,
-            tests: vec![],
-            releases: VecDeque::new(),
-            closed: (String::new(), 0),
+            loop_handle,
+            max_connections,
+            max_unsent_bytes,
+            connections: BTreeMap::new(),
+            last_connection_id: 0,
+            pending_health_checks: vec![],
+            pending_releases: VecDeque::new(),
+            unlogged_closes: 0,
+            last_close_reason: String::new(),
         })
     }
 
-    fn add(&mut self, now: Micros, stream: TcpStream) {
-        self.last += 1;
-        let origin = ConnectionId(self.last);
-        match Connection::new(&self.handle, stream, self.most.1, move |node| node.caller_ready(origin)) {
-            Ok(link) => {
-                let (ended, trust, part, strikes, strange) = (false, Trust::None, None, 0, 0);
-                let caller = Caller { link, ended, trust, used: now, part, strikes, strange };
-                self.callers.insert(origin, caller);
+    fn add_connection(&mut self, now: Micros, stream: TcpStream) {
+        self.last_connection_id += 1;
+        let id = ConnectionId(self.last_connection_id);
+        let callback = move |node: &mut Node| node.handle_caller_io(id);
+        match Connection::new(&self.loop_handle, stream, self.max_unsent_bytes, callback) {
+            Ok(connection) => {
+                let caller = CallerConnection {
+                    connection,
+                    half_closed: false,
+                    trust: TrustLevel::Unknown,
+                    last_active_at: now,
+                    incomplete_since: None,
+                    set_up_errors: 0,
+                    unknown_releases: 0,
+                };
+                self.connections.insert(id, caller);
             }
-            Err(e) => log(&format!("a caller's connection failed: {e}")),
+            Err(error) => log(&format!("cannot set up a caller's connection: {error}")),
         }
     }
 
-    /// The connection that can best be done without: of those on which no set-up is open the least trusted, and
-    /// of these the idlest.
-    fn idlest(&self, owed: &BTreeMap<ConnectionId, usize>) -> Option<ConnectionId> {
-        let idle = self.callers.iter().filter(|(origin, _)| !owed.contains_key(origin));
-        idle.min_by_key(|(_, c)| (c.trust, c.used)).map(|(origin, _)| *origin)
+    /// The connection to close in favour of a new one: of those without an unanswered set-up and with the
+    /// lowest trust level, the one that has been inactive for longest.
+    fn eviction_candidate(&self, unanswered: &BTreeMap<ConnectionId, usize>) -> Option<ConnectionId> {
+        let idle = self.connections.iter().filter(|(id, _)| !unanswered.contains_key(id));
+        idle.min_by_key(|(_, caller)| (caller.trust, caller.last_active_at)).map(|(id, _)| *id)
     }
 
-    /// Connections that have been of no use for too long.
-    fn useless(
-        &self, now: Micros, owed: &BTreeMap<ConnectionId, usize>,
+    /// The connections to close because a time-out has expired, and the reasons.
+    fn timed_out_connections(
+        &self, now: Micros, unanswered: &BTreeMap<ConnectionId, usize>,
     ) -> Vec<(ConnectionId, &'static str)> {
-        let why = |(origin, c): (&ConnectionId, &Caller)| {
-            let patience = if c.trust == Trust::None { PATIENCE } else { IDLE };
-            if c.part.is_some_and(|since| now >= since + PATIENCE) {
-                Some((*origin, "part of a message came and no more"))
-            } else if !owed.contains_key(origin) && now >= c.used + patience {
-                Some((*origin, "nothing of use came for too long"))
+        let timed_out = |(id, caller): (&ConnectionId, &CallerConnection)| {
+            let inactivity_timeout =
+                if caller.trust == TrustLevel::Unknown { RECEIVE_TIMEOUT } else { IDLE_TIMEOUT };
+            if caller.incomplete_since.is_some_and(|since| now >= since + RECEIVE_TIMEOUT) {
+                Some((*id, "the rest of a message did not arrive in time"))
+            } else if !unanswered.contains_key(id) && now >= caller.last_active_at + inactivity_timeout {
+                Some((*id, "no valid message arrived in time"))
             } else {
                 None
             }
         };
-        self.callers.iter().filter_map(why).collect()
+        self.connections.iter().filter_map(timed_out).collect()
     }
 
-    /// Something of use has come on a connection, or been said on it.
-    fn trust(&mut self, now: Micros, origin: ConnectionId, trust: Trust) {
-        if let Some(caller) = self.callers.get_mut(&origin) {
-            (caller.used, caller.trust) = (now, caller.trust.max(trust));
+    /// Records activity on a connection and raises its trust level to `trust`, if that is higher.
+    fn record_activity(&mut self, now: Micros, id: ConnectionId, trust: TrustLevel) {
+        if let Some(caller) = self.connections.get_mut(&id) {
+            caller.last_active_at = now;
+            caller.trust = caller.trust.max(trust);
         }
     }
 
-    fn write(&mut self, origin: ConnectionId, message: &Message) {
-        if let Some(caller) = self.callers.get_mut(&origin)
-            && !message.encode(caller.link.output_buffer())
+    /// Appends a message to the output buffer of a connection, if it is still open.
+    fn send(&mut self, id: ConnectionId, message: &Message) {
+        if let Some(caller) = self.connections.get_mut(&id)
+            && !message.encode(caller.connection.output_buffer())
         {
-            log(&format!("a message of type {} is too long to be sent", message.message_type));
+            log(&format!("message of type {} exceeds the size limit; not sent", message.message_type));
         }
     }
 
-    /// Tells a caller that its call stands.
-    pub fn answer(&mut self, now: Micros, origin: ConnectionId, tag: Tag, description: Option<String>) {
+    /// Tells a caller that its call is answered.
+    pub fn answer(&mut self, now: Micros, id: ConnectionId, tag: Tag, description: Option<String>) {
         let answer = Message::new(message_type::ANSWER, tag);
         let answer = match description {
-            Some(d) => answer.with_parameter(parameter_code::SESSION_DESCRIPTION, d),
+            Some(description) => answer.with_parameter(parameter_code::SESSION_DESCRIPTION, description),
             None => answer,
         };
-        self.write(origin, &answer);
-        self.trust(now, origin, Trust::Proven);
+        self.send(id, &answer);
+        self.record_activity(now, id, TrustLevel::AnsweredCall);
     }
 
-    /// Tells a caller that its call does not stand, and for how long to stay away.
-    pub fn reject(&mut self, origin: ConnectionId, tag: Tag, cause: u8, back_off: Micros) {
-        let mut refusal =
+    /// Tells a caller that its set-up was unsuccessful, and for how long to back off unless `back_off` is 0.
+    pub fn reject(&mut self, id: ConnectionId, tag: Tag, cause: u8, back_off: Micros) {
+        let mut reject =
             Message::new(message_type::RELEASE, tag).with_parameter(parameter_code::CAUSE, [cause]);
         if back_off > 0 {
-            refusal = refusal.with_parameter(parameter_code::BACK_OFF, (back_off / 1000).max(1).to_string());
+            reject = reject.with_parameter(parameter_code::BACK_OFF, (back_off / 1000).max(1).to_string());
         }
-        self.write(origin, &refusal);
+        self.send(id, &reject);
     }
 
-    /// Releases a standing call: on its set-up's connection, else on that of a caller known to make sense, else
-    /// as soon as there is one.
-    pub fn release(&mut self, now: Micros, origin: Option<ConnectionId>, tag: Tag, cause: u8) {
-        let open = |o: &ConnectionId| self.callers.get(o).is_some_and(|c| !c.ended);
-        match origin.filter(open).or_else(|| self.best(Trust::Sound)) {
-            Some(origin) => self.write_release(origin, tag, cause),
-            None if self.releases.len() < MOST_WAITING => self.releases.push_back((tag, cause, now)),
-            None => log("too many releases wait for a caller: one is dropped"),
+    /// Releases an answered call towards its caller: on the connection of its set-up if that is open,
+    /// otherwise on another one at [`TrustLevel::ValidMessage`] or higher, otherwise as soon as there is a
+    /// suitable connection.
+    pub fn release(&mut self, now: Micros, id: Option<ConnectionId>, tag: Tag, cause: u8) {
+        let is_open = |id: &ConnectionId| self.connections.get(id).is_some_and(|caller| !caller.half_closed);
+        match id.filter(is_open).or_else(|| self.best_connection(TrustLevel::ValidMessage)) {
+            Some(id) => self.send_release(id, tag, cause),
+            None if self.pending_releases.len() < MAX_PENDING_RELEASES => {
+                self.pending_releases.push_back(PendingRelease { tag, cause, waiting_since: now });
+            }
+            None => log("too many releases are waiting for a caller to connect; release dropped"),
         }
     }
 
-    fn write_release(&mut self, origin: ConnectionId, tag: Tag, cause: u8) {
-        self.write(
-            origin,
+    fn send_release(&mut self, id: ConnectionId, tag: Tag, cause: u8) {
+        self.send(
+            id,
             &Message::new(message_type::RELEASE, tag).with_parameter(parameter_code::CAUSE, [cause]),
         );
     }
 
-    /// The connection that most likely has a caller at its end who reads it.
-    fn best(&self, least: Trust) -> Option<ConnectionId> {
-        let open = self.callers.iter().filter(|(_, c)| !c.ended && c.trust >= least);
-        open.max_by_key(|(_, c)| (c.trust, c.used)).map(|(origin, _)| *origin)
+    /// The open connection that is most likely to have a working caller at its other end: the one with the
+    /// highest trust level, at least `min_trust`, and of these the one that was active last.
+    fn best_connection(&self, min_trust: TrustLevel) -> Option<ConnectionId> {
+        let open =
+            self.connections.iter().filter(|(_, caller)| !caller.half_closed && caller.trust >= min_trust);
+        open.max_by_key(|(_, caller)| (caller.trust, caller.last_active_at)).map(|(id, _)| *id)
     }
 
-    /// Releases that waited for a caller go out.
-    fn release_waiting(&mut self, now: Micros) {
-        while let Some((tag, cause, since)) = self.releases.front().copied() {
-            let least = if now >= since + RELEASE_WAIT { Trust::None } else { Trust::Sound };
-            let Some(origin) = self.best(least) else { break };
-            self.write_release(origin, tag, cause);
-            self.releases.pop_front();
+    /// Sends the pending releases, oldest first, until there is no suitable connection for one.
+    fn send_pending_releases(&mut self, now: Micros) {
+        while let Some(release) = self.pending_releases.front().copied() {
+            let min_trust = if now >= release.waiting_since + RELEASE_FALLBACK_DELAY {
+                TrustLevel::Unknown
+            } else {
+                TrustLevel::ValidMessage
+            };
+            let Some(id) = self.best_connection(min_trust) else { break };
+            self.send_release(id, release.tag, release.cause);
+            self.pending_releases.pop_front();
         }
     }
 
-    /// Answers the tests that have come, once the gatekeeper is ready.
-    pub fn pass_tests(&mut self, passed: bool) {
-        for (origin, tag) in std::mem::take(&mut self.tests) {
-            self.write(
-                origin,
-                &Message::new(message_type::HEALTH_CHECK_RESULT, tag)
+    /// Answers all pending health checks with the same result.
+    pub fn answer_health_checks(&mut self, passed: bool) {
+        for check in std::mem::take(&mut self.pending_health_checks) {
+            self.send(
+                check.connection_id,
+                &Message::new(message_type::HEALTH_CHECK_RESULT, check.tag)
                     .with_parameter(parameter_code::CAUSE, [u8::from(passed)]),
             );
         }
     }
 
-    /// Whether tests wait for their answer.
-    pub fn has_tests(&self) -> bool {
-        !self.tests.is_empty()
+    /// Returns true if a health check has not been answered yet.
+    pub fn has_pending_health_checks(&self) -> bool {
+        !self.pending_health_checks.is_empty()
     }
 
-    /// Whether all that was said is written.
+    /// Returns true if no output is waiting to be sent on any connection.
     pub fn is_flushed(&self) -> bool {
-        self.callers.values().all(|c| c.link.is_flushed())
+        self.connections.values().all(|caller| caller.connection.is_flushed())
     }
 
-    /// Writes what waits; returns the connections that are over.
-    pub fn flush(&mut self, owed: impl Fn(ConnectionId) -> bool) -> Vec<ConnectionId> {
-        let mut over = Vec::new();
-        for (origin, caller) in &mut self.callers {
-            let broken = match caller.link.flush() {
+    /// Sends as much output as the sockets accept. Returns the connections to close: those that have failed,
+    /// and half-closed ones with nothing left to send.
+    pub fn flush(&mut self, has_unanswered_set_up: impl Fn(ConnectionId) -> bool) -> Vec<ConnectionId> {
+        let mut to_close = Vec::new();
+        for (id, caller) in &mut self.connections {
+            let failed = match caller.connection.flush() {
                 Ok(()) => false,
-                Err(e) => {
-                    log(&format!("a caller's connection broke: {e}"));
+                Err(error) => {
+                    log(&format!("a caller's connection failed: {error}"));
                     true
                 }
             };
-            if broken || (caller.ended && caller.link.is_flushed() && !owed(*origin)) {
-                over.push(*origin);
+            let drained = caller.half_closed && caller.connection.is_flushed();
+            if failed || (drained && !has_unanswered_set_up(*id)) {
+                to_close.push(*id);
             }
         }
-        over
+        to_close
     }
 
-    /// The one place where a caller's connection is given back. What was said to it is written first.
-    fn close(&mut self, origin: ConnectionId) {
-        if let Some(mut caller) = self.callers.remove(&origin) {
-            // It is closed in any case: whatever is not taken now is lost.
-            let _ = caller.link.flush();
-            caller.link.close(&self.handle);
-            self.tests.retain(|t| t.0 != origin);
+    /// Sends the pending output of a connection and removes it. All connections are removed here, so that
+    /// their registration and their pending health checks are always removed with them.
+    fn close(&mut self, id: ConnectionId) {
+        if let Some(mut caller) = self.connections.remove(&id) {
+            // Output that the socket does not accept now is lost, as the connection is closed in any case.
+            let _ = caller.connection.flush();
+            caller.connection.close(&self.loop_handle);
+            self.pending_health_checks.retain(|check| check.connection_id != id);
         }
     }
 }
 
 impl Node {
-    fn accept(&mut self, listener: &TcpListener) {
+    fn accept_callers(&mut self, listener: &TcpListener) {
         let now = self.clock.now();
-        for _ in 0..ACCEPTS {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             match listener.accept() {
                 Ok((stream, _)) => {
-                    if self.callers.callers.len() >= self.callers.most.0 {
-                        // Guards the descriptors. A listener that rests instead would keep callers out for as
-                        // long as others hold their connections for nothing.
-                        match self.callers.idlest(&self.call_control.unanswered_by_connection()) {
-                            Some(origin) => self.close_useless(origin, "others need its place"),
+                    if self.callers.connections.len() >= self.callers.max_connections {
+                        // Bounds the file descriptors in use. If the listener stopped accepting instead,
+                        // connections that are open but unused would keep callers out.
+                        let unanswered = self.call_control.unanswered_by_connection();
+                        match self.callers.eviction_candidate(&unanswered) {
+                            Some(id) => self.close_caller_with_reason(id, "a new connection needs its place"),
+                            // The new connection is closed, since all others have unanswered set-ups.
                             None => continue,
                         }
                     }
-                    self.callers.add(now, stream);
+                    self.callers.add_connection(now, stream);
                 }
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(e) => return log(&format!("a caller could not be accepted: {e}")),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                Err(error) => return log(&format!("cannot accept a caller's connection: {error}")),
             }
         }
     }
 
-    /// Closes connections that hold their place for nothing, and sends releases that waited for a caller.
-    pub(super) fn look_after_callers(&mut self) {
+    /// Closes the connections that have timed out, sends the pending releases that it can, and schedules the
+    /// next run.
+    pub(super) fn run_caller_maintenance(&mut self) {
         let now = self.clock.now();
-        for (origin, why) in self.callers.useless(now, &self.call_control.unanswered_by_connection()) {
-            self.close_useless(origin, why);
+        let unanswered = self.call_control.unanswered_by_connection();
+        for (id, reason) in self.callers.timed_out_connections(now, &unanswered) {
+            self.close_caller_with_reason(id, reason);
         }
-        self.callers.release_waiting(now);
-        let (why, n) = std::mem::take(&mut self.callers.closed);
-        if n > 0 {
-            log(&format!("callers' connections closed: {n}, the last since {why}"));
+        self.callers.send_pending_releases(now);
+        let count = std::mem::take(&mut self.callers.unlogged_closes);
+        let reason = std::mem::take(&mut self.callers.last_close_reason);
+        if count > 0 {
+            log(&format!("closed {count} caller connection(s), the last because {reason}"));
         }
-        self.call_control.timers.push(now + LOOK, TimerEvent::CallerMaintenance);
+        self.call_control.timers.push(now + MAINTENANCE_INTERVAL, TimerEvent::CallerMaintenance);
     }
 
-    /// Closes a connection whose caller makes no sense. Many may come: the log has a line for all of them.
-    fn close_useless(&mut self, origin: ConnectionId, why: &str) {
-        self.callers.closed = (why.to_string(), self.callers.closed.1 + 1);
-        self.close_caller(origin);
+    /// Closes a connection for a reason to be logged. Many may be closed in a short time, so the maintenance
+    /// writes one log line for all that were closed since its last run.
+    fn close_caller_with_reason(&mut self, id: ConnectionId, reason: &str) {
+        self.callers.last_close_reason = reason.to_string();
+        self.callers.unlogged_closes += 1;
+        self.close_caller(id);
     }
 
-    /// A message made no sense; true if the connection lives on.
-    fn strike(&mut self, origin: ConnectionId, why: &str) -> bool {
-        let Some(caller) = self.callers.callers.get_mut(&origin) else { return false };
-        caller.strikes += 1;
-        let lives = caller.strikes < STRIKES;
-        if !lives {
-            self.close_useless(origin, why);
+    /// Counts a set-up that is invalid or has a tag that is in use, and closes the connection if it has sent
+    /// too many. Returns true if the connection stays open.
+    fn record_set_up_error(&mut self, id: ConnectionId, reason: &str) -> bool {
+        let Some(caller) = self.callers.connections.get_mut(&id) else { return false };
+        caller.set_up_errors += 1;
+        let stays_open = caller.set_up_errors < SET_UP_ERROR_LIMIT;
+        if !stays_open {
+            self.close_caller_with_reason(id, reason);
         }
-        lives
+        stays_open
     }
 
-    /// Something has come on a caller's connection, or it has room again.
-    pub(super) fn caller_ready(&mut self, origin: ConnectionId) {
+    /// Handles input on a caller's connection; also called when its socket accepts output again.
+    pub(super) fn handle_caller_io(&mut self, id: ConnectionId) {
         let now = self.clock.now();
-        let Some(caller) = self.callers.callers.get_mut(&origin) else { return };
-        if caller.ended {
-            // Nothing more comes but the reset of a caller that is gone.
-            if !matches!(caller.link.check_connected(), Ok(true)) {
-                self.close_caller(origin);
+        let Some(caller) = self.callers.connections.get_mut(&id) else { return };
+        if caller.half_closed {
+            // There is no more input; only a reset of the connection can still be reported.
+            if !matches!(caller.connection.check_connected(), Ok(true)) {
+                self.close_caller(id);
             }
             return;
         }
-        let progress = caller.link.read();
-        let (messages, result) = caller.link.decode_messages(binary::decode);
-        // The wait for the rest begins anew with each message that has come whole.
-        let since = caller.part.filter(|_| messages.is_empty()).or(Some(now));
-        caller.part = since.filter(|_| !caller.link.input_buffer.is_empty());
+        let read_status = caller.connection.read();
+        let (messages, result) = caller.connection.decode_messages(binary::decode);
+        // The time-out of an incomplete message starts again whenever a complete one precedes it.
+        let incomplete_since = caller.incomplete_since.filter(|_| messages.is_empty()).or(Some(now));
+        caller.incomplete_since = incomplete_since.filter(|_| !caller.connection.input_buffer.is_empty());
         for message in messages {
-            if !self.heard_caller(origin, message) {
+            if !self.handle_caller_message(id, message) {
                 return;
             }
         }
-        if let Err(what) = result {
-            return self.close_useless(origin, &format!("it sent {what}"));
+        if let Err(error) = result {
+            return self.close_caller_with_reason(id, &format!("it sent {error}"));
         }
-        match progress {
+        match read_status {
             ReadStatus::WouldBlock => {}
-            // One chunk at a time, so that a busy caller does not keep the others waiting.
-            ReadStatus::MorePossible => self.unread.push(Unread::Caller(origin)),
-            ReadStatus::Failed => self.close_caller(origin),
-            ReadStatus::EndOfStream => match self.call_control.unanswered_set_up(origin) {
-                // A caller that only finished sending still reads. Guards against one that is gone for good:
-                // this write, which means nothing, brings its reset.
+            // Only one chunk is read per iteration, so that a busy caller does not keep the others waiting.
+            ReadStatus::MorePossible => self.unread.push(Unread::Caller(id)),
+            ReadStatus::Failed => self.close_caller(id),
+            ReadStatus::EndOfStream => match self.call_control.unanswered_set_up(id) {
+                // The caller may have shut down only its sending side and still wait for the answer. If it
+                // has closed the whole connection, its host answers this message, which carries no
+                // information, with a reset.
                 Some(tag) => {
-                    self.callers.write(origin, &Message::new(message_type::PROGRESS, tag));
-                    self.callers.callers.entry(origin).and_modify(|c| c.ended = true);
+                    self.callers.send(id, &Message::new(message_type::PROGRESS, tag));
+                    self.callers.connections.entry(id).and_modify(|caller| caller.half_closed = true);
                 }
-                None => self.close_caller(origin),
+                // A health check that is still pending on the connection is not answered.
+                None => self.close_caller(id),
             },
         }
     }
 
-    /// Takes a message; false if the connection is closed over it.
-    fn heard_caller(&mut self, origin: ConnectionId, message: Message) -> bool {
-        let (now, tag) = (self.clock.now(), message.call_reference);
-        let trust = self.callers.callers.get(&origin).map_or(Trust::None, |c| c.trust);
+    /// Handles a message from a caller. Returns false if the connection has been closed because of it.
+    fn handle_caller_message(&mut self, id: ConnectionId, message: Message) -> bool {
+        let now = self.clock.now();
+        let tag = message.call_reference;
+        let trust = self.callers.connections.get(&id).map_or(TrustLevel::Unknown, |caller| caller.trust);
         match message.message_type {
-            message_type::SET_UP => return self.heard_set_up(now, origin, &message, trust),
+            message_type::SET_UP => return self.handle_set_up_message(now, id, &message, trust),
             message_type::RELEASE if tag != 0 => {
                 let known = self.call_control.handle_caller_release(now, tag);
-                self.callers.write(origin, &Message::new(message_type::RELEASE_COMPLETE, tag));
-                self.callers.trust(now, origin, trust);
-                if !known && let Some(caller) = self.callers.callers.get_mut(&origin) {
-                    // Guards the switches: each is told of a call that may stand with any of them.
-                    caller.strange += 1;
-                    if caller.strange > STRANGE {
-                        self.close_useless(origin, "it withdrew calls that are not known");
+                self.callers.send(id, &Message::new(message_type::RELEASE_COMPLETE, tag));
+                self.callers.record_activity(now, id, trust);
+                if !known && let Some(caller) = self.callers.connections.get_mut(&id) {
+                    // Limits the load on the switches: the release of an unknown call is sent to all of them,
+                    // since the call may be up at any one.
+                    caller.unknown_releases += 1;
+                    if caller.unknown_releases > MAX_UNKNOWN_RELEASES {
+                        self.close_caller_with_reason(id, "it released too many unknown calls");
                         return false;
                     }
                 }
             }
             message_type::HEALTH_CHECK => {
-                // Those that wait for the gatekeeper to be ready are bounded as the connections are.
-                if self.callers.tests.len() < self.callers.most.0 {
-                    self.callers.tests.push((origin, tag));
+                // The health checks that wait until the gatekeeper is ready are bounded by the limit on
+                // connections.
+                if self.callers.pending_health_checks.len() < self.callers.max_connections {
+                    self.callers.pending_health_checks.push(HealthCheck { connection_id: id, tag });
                 }
-                self.callers.trust(now, origin, Trust::Sound);
+                self.callers.record_activity(now, id, TrustLevel::ValidMessage);
             }
             message_type::RELEASE_COMPLETE | message_type::PROGRESS => {}
-            // From a caller that is known to make sense, a message of a later protocol.
-            _ if trust == Trust::Proven => {}
+            // A working caller may use message types of a later version of the protocol.
+            _ if trust == TrustLevel::AnsweredCall => {}
             _ => {
-                self.close_useless(origin, "it sent a message that no caller sends");
+                self.close_caller_with_reason(id, "it sent a message that no caller sends");
                 return false;
             }
         }
         true
     }
 
-    fn heard_set_up(&mut self, now: Micros, origin: ConnectionId, message: &Message, trust: Trust) -> bool {
+    /// Handles a set-up message. Returns false if the connection has been closed because of it.
+    fn handle_set_up_message(
+        &mut self, now: Micros, id: ConnectionId, message: &Message, trust: TrustLevel,
+    ) -> bool {
         let tag = message.call_reference;
-        let unproven = trust != Trust::Proven;
-        let taken = match set_up(message) {
+        let unproven = trust != TrustLevel::AnsweredCall;
+        let result = match parse_set_up(message) {
             Some(_)
                 if unproven
                     && self
                         .call_control
                         .unanswered_by_connection()
-                        .get(&origin)
-                        .is_some_and(|n| *n >= UNPROVEN) =>
+                        .get(&id)
+                        .is_some_and(|count| *count >= MAX_UNPROVEN_SET_UPS) =>
             {
-                // Guards the others against one that sends without end: its place is bounded.
-                self.call_control.reject_for_congestion(origin, tag);
+                // Bounds the room in the call table that a caller can take by sending without pause, so that
+                // others find room as well.
+                self.call_control.reject_for_congestion(id, tag);
                 return true;
             }
-            Some(new) => self.call_control.handle_set_up(now, origin, new),
+            Some(set_up) => self.call_control.handle_set_up(now, id, set_up),
             None => Err(SetUpError::Invalid),
         };
-        match taken {
-            Ok(()) => self.callers.trust(now, origin, Trust::Sound),
+        match result {
+            Ok(()) => self.callers.record_activity(now, id, TrustLevel::ValidMessage),
             Err(SetUpError::Invalid) => {
-                self.callers.reject(origin, tag, cause::INVALID_CONTENTS, 0);
-                return self.strike(origin, "its set-ups make no sense");
+                self.callers.reject(id, tag, cause::INVALID_CONTENTS, 0);
+                return self.record_set_up_error(id, "it sent too many invalid set-ups");
             }
-            // An answer could be taken for that to the first set-up: a stranger's connection is closed instead.
+            // A reply with this tag could be taken for the reply to the first set-up, so the connection is
+            // closed instead.
             Err(SetUpError::TagInUse) if unproven => {
-                self.close_useless(origin, "it sent a set-up whose id is in use");
+                self.close_caller_with_reason(id, "it sent a set-up with a tag that is in use");
                 return false;
             }
             Err(SetUpError::TagInUse) => {
-                log(&format!("set-up {tag:016x}: the id is in use; ignored"));
-                return self.strike(origin, "it sent set-ups whose ids are in use");
+                log(&format!("set-up {tag:016x} ignored: its tag is in use"));
+                return self.record_set_up_error(id, "it sent too many set-ups with tags that are in use");
             }
         }
         true
     }
 
-    /// A caller's connection is over, and with it the set-ups that were open on it.
-    pub(super) fn close_caller(&mut self, origin: ConnectionId) {
-        self.callers.close(origin);
+    /// Closes a caller's connection, which releases the unanswered set-ups on it.
+    pub(super) fn close_caller(&mut self, id: ConnectionId) {
+        self.callers.close(id);
         let now = self.clock.now();
-        self.call_control.handle_caller_disconnect(now, origin);
+        self.call_control.handle_caller_disconnect(now, id);
     }
 }
 
-/// A set-up's parameters.
-fn set_up(message: &Message) -> Option<SetUp> {
-    let called = message.text_parameter(parameter_code::CALLED_NUMBER)?;
-    if called.is_empty() || called.len() > 64 || !called.bytes().all(|b| b.is_ascii_graphic()) {
+/// Reads the parameters of a set-up. `None` if one is missing or malformed.
+fn parse_set_up(message: &Message) -> Option<SetUp> {
+    let called_number = message.text_parameter(parameter_code::CALLED_NUMBER)?;
+    if called_number.is_empty()
+        || called_number.len() > MAX_CALLED_NUMBER_BYTES
+        || !called_number.bytes().all(|byte| byte.is_ascii_graphic())
+    {
         return None;
     }
-    let mut new = SetUp {
+    let mut set_up = SetUp {
         tag: message.call_reference,
         class: message.text_parameter(parameter_code::CLASS)?.to_string(),
-        called_number: called.to_string(),
+        called_number: called_number.to_string(),
         caller_timeout: message
             .text_parameter(parameter_code::TIME_LEFT)?
             .parse::<i64>()
             .ok()?
             .saturating_mul(1000),
-        redial: message.text_parameter(parameter_code::REDIAL).is_some_and(|r| r != "0"),
+        redial: message.text_parameter(parameter_code::REDIAL).is_some_and(|value| value != "0"),
         destination: -1,
         circuits: 1.0,
         via: -1,
         transit: false,
         description: None,
     };
-    for figure in message.text_parameter(parameter_code::ROUTING)?.split(';').filter(|f| !f.is_empty()) {
-        let (name, value) = figure.split_once(':')?;
-        // What is no number, or none at all, must not pass as nought.
-        let value = value.parse::<f64>().ok().filter(|v| v.is_finite())?;
-        let whole = (value.fract() == 0.0 && value.abs() <= 1e9).then_some(value as ExchangeNumber);
+    let attributes = message.text_parameter(parameter_code::ROUTING)?.split(';');
+    for attribute in attributes.filter(|attribute| !attribute.is_empty()) {
+        let (name, value) = attribute.split_once(':')?;
+        // A value that is not a finite number makes the set-up invalid; it must not be taken for 0.
+        let value = value.parse::<f64>().ok().filter(|value| value.is_finite())?;
+        let is_integer = value.fract() == 0.0 && value.abs() <= MAX_ROUTING_INTEGER;
+        let integer = is_integer.then_some(value as ExchangeNumber);
         match name {
-            "dest" => new.destination = whole?,
-            "width" => new.circuits = value,
-            "via" => new.via = whole?,
-            "transit" => new.transit = whole? != 0,
+            "dest" => set_up.destination = integer?,
+            "width" => set_up.circuits = value,
+            "via" => set_up.via = integer?,
+            "transit" => set_up.transit = integer? != 0,
             _ => {}
         }
     }
     if let Some(description) = message.parameter(parameter_code::SESSION_DESCRIPTION) {
-        // The switches' JSON holds text only: what is no text could not be passed on unchanged.
-        new.description = Some(String::from_utf8(description.to_vec()).ok()?);
+        // The JSON lines of the switches' protocol hold text only: a description that is not UTF-8 could not
+        // be passed on unchanged.
+        set_up.description = Some(String::from_utf8(description.to_vec()).ok()?);
     }
-    Some(new)
+    Some(set_up)
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -234,7 +234,7 @@
         path: config.path,
     };
     node.start_feed(config.known);
-    node.look_after_callers();
+    node.run_caller_maintenance();
 
     while !node.turn() {
         let next = node.call_control.next_deadline();
@@ -262,7 +262,7 @@
             match due {
                 TimerEvent::SwitchConnection(switch) => self.link_due(switch),
                 TimerEvent::ControlFeed => self.feed_due(),
-                TimerEvent::CallerMaintenance => self.look_after_callers(),
+                TimerEvent::CallerMaintenance => self.run_caller_maintenance(),
                 TimerEvent::Shutdown => {
                     if self.stopping.is_some_and(|since| now >= since + LAST_ANSWER) {
                         self.call_control.fail_unanswered_calls(now);
@@ -277,9 +277,9 @@
             self.ready = true;
             log("ready");
         }
-        if self.callers.has_tests() && (self.ready || self.stopping.is_some()) {
+        if self.callers.has_pending_health_checks() && (self.ready || self.stopping.is_some()) {
             // One that stops takes no more in: the front should turn elsewhere.
-            self.callers.pass_tests(self.stopping.is_none());
+            self.callers.answer_health_checks(self.stopping.is_none());
         }
         self.flush();
         let quiet = |since: Micros| {
@@ -293,7 +293,7 @@
     fn read_on(&mut self) {
         for unread in std::mem::take(&mut self.unread) {
             match unread {
-                Unread::Caller(origin) => self.caller_ready(origin),
+                Unread::Caller(origin) => self.handle_caller_io(origin),
                 Unread::Switch(switch) => self.switch_ready(switch),
                 Unread::Feed => self.feed_ready(),
             }
