--- a/src/net/callers.rs
+++ b/src/net/callers.rs
@@ -25,8 +25,8 @@
 /// A connection at a higher trust level is closed after this time without activity, unless it has an
 /// unanswered set-up. Callers close their idle connections after 4 s.
 const IDLE_TIMEOUT: Micros = 5_000_000;
-/// A release that has waited this long for a connection at [`TrustLevel::ValidMessage`] or higher is
-/// sent on any connection.
+/// A release that has waited this long for a connection at [`TrustLevel::ValidMessage`] or higher is sent on
+/// any connection.
 const RELEASE_FALLBACK_DELAY: Micros = 500_000;
 /// A connection is closed when it has sent this many set-ups that are invalid or have a tag that is in use.
 const SET_UP_ERROR_LIMIT: u32 = 16;
@@ -35,7 +35,7 @@
 const MAX_UNKNOWN_RELEASES: u32 = 1024;
 /// Most unanswered set-ups on a connection on which no call has been answered yet. Only a caller that sends
 /// without reading the replies exceeds it.
-const MAX_UNPROVEN_SET_UPS: usize = 128;
+const MAX_SET_UPS_BEFORE_FIRST_ANSWER: usize = 128;
 /// Longest called number that a set-up may have.
 const MAX_CALLED_NUMBER_BYTES: usize = 64;
 /// Largest absolute value of an integer among the routing attributes of a set-up.
@@ -92,7 +92,7 @@
     max_unsent_bytes: usize,
     connections: BTreeMap<ConnectionId, CallerConnection>,
     last_connection_id: u64,
-    /// Health checks received before the gatekeeper was ready.
+    /// Health checks that have not been answered; they wait until the gatekeeper is ready.
     pending_health_checks: Vec<HealthCheck>,
     /// Releases for which there was no suitable connection, oldest first.
     pending_releases: VecDeque<PendingRelease>,
@@ -270,7 +270,7 @@
         }
     }
 
-    /// Returns true if a health check has not been answered yet.
+    /// Returns true if a health check has not been answered.
     pub fn has_pending_health_checks(&self) -> bool {
         !self.pending_health_checks.is_empty()
     }
@@ -462,15 +462,15 @@
         &mut self, now: Micros, id: ConnectionId, message: &Message, trust: TrustLevel,
     ) -> bool {
         let tag = message.call_reference;
-        let unproven = trust != TrustLevel::AnsweredCall;
+        let no_answered_call = trust != TrustLevel::AnsweredCall;
         let result = match parse_set_up(message) {
             Some(_)
-                if unproven
+                if no_answered_call
                     && self
                         .call_control
                         .unanswered_by_connection()
                         .get(&id)
-                        .is_some_and(|count| *count >= MAX_UNPROVEN_SET_UPS) =>
+                        .is_some_and(|count| *count >= MAX_SET_UPS_BEFORE_FIRST_ANSWER) =>
             {
                 // Bounds the room in the call table that a caller can take by sending without pause, so that
                 // others find room as well.
@@ -488,7 +488,7 @@
             }
             // A reply with this tag could be taken for the reply to the first set-up, so the connection is
             // closed instead.
-            Err(SetUpError::TagInUse) if unproven => {
+            Err(SetUpError::TagInUse) if no_answered_call => {
                 self.close_caller_with_reason(id, "it sent a set-up with a tag that is in use");
                 return false;
             }
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,16 +1,23 @@
-//! Recorded exchanges, one text file each in tests/exchanges/, played against the program over sockets.
+//! Runs the recorded exchanges in tests/exchanges/, one text file each, against the program over sockets.
 //!
-//! A line names a party, what it does and the bytes. Callers are c1, c2 and so on, carrier switches s1 and s2,
-//! a further connection to one has a letter more (s1b), and `feed` is the control feed.
+//! A line names a party, what the party does and, where it applies, the bytes or text. The callers are c1, c2
+//! and so on, the carrier switches s1 and s2; `feed` is the control feed and `moved` a second address for it.
+//! A letter is added for a further connection to the same listener: s1b, feedb.
 //!
-//!     PARTY opens | accepts | closes | resets | refuses     its connection, or with `refuses` its address
-//!     PARTY > BYTES     it sends          PARTY < BYTES     it gets these     PARTY < end   it is closed
-//!     signal TERM       exits 0           log TEXT          the program's log has a line with this text
-//!     with A => B       first line of a file: the configuration has B in place of A
-//!     config @moved     its file now names this address for the feed; any other text is written as it is
+//!     PARTY opens | accepts | closes | resets     its connection
+//!     PARTY refuses     closes its listener, so that connections to it are refused
+//!     PARTY > BYTES     sends bytes       PARTY < BYTES     receives exactly these bytes
+//!     PARTY < end       its connection has been closed
+//!     signal TERM       sends a signal    exits 0           waits for the program to exit with this code
+//!     log TEXT          waits for a line with this text in the program's log
+//!     with A => B       on the first line of a file: replaces A by B in the configuration
+//!     config @moved     rewrites the configuration file with this address for the feed; any other text
+//!                       replaces the whole file
 //!
-//! A caller's bytes are hex digits and "text" (also "text"*N); #( ) puts a length of two bytes before what it
-//! holds. Others speak lines, where * stands for anything and @s1 for the address of s1.
+//! The bytes of a caller are hex digits and "text" (also "text"*N for N repeats); #( ) puts a length of two
+//! bytes before what it contains. The other parties send and receive lines. A line that ends in \ is sent
+//! without a line break, * in a line to be received matches any text, and @s1 is the address of s1. Lines
+//! that begin with // are comments.
 
 use socket2::SockRef;
 use std::collections::BTreeMap;
@@ -21,54 +28,62 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-/// Only a program that hangs takes so long; nothing passes or fails by being slower or faster.
-const HANG: Option<Duration> = Some(Duration::from_secs(20));
+/// Longest wait for the program. Only a program that hangs reaches it; no result depends on how fast the
+/// program is.
+const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn read(name: &str) -> String {
+fn read_exchange_file(name: &str) -> String {
     std::fs::read_to_string(format!("{}/tests/exchanges/{name}", env!("CARGO_MANIFEST_DIR"))).unwrap()
 }
 
-struct Play {
+/// A running program and the parties that talk to it.
+struct Runner {
     program: Child,
-    log: Receiver<String>,
-    path: PathBuf,
-    at: String,
+    log_lines: Receiver<String>,
+    config_path: PathBuf,
+    /// Where the program listens for callers.
+    caller_address: String,
+    /// Listeners of the switches and the feed.
     listeners: BTreeMap<&'static str, TcpListener>,
-    addresses: BTreeMap<&'static str, String>,
+    listener_addresses: BTreeMap<&'static str, String>,
+    /// Open connections of the parties, by party.
     connections: BTreeMap<String, BufReader<TcpStream>>,
 }
 
-impl Drop for Play {
+impl Drop for Runner {
     fn drop(&mut self) {
         let _ = self.program.kill();
         let _ = self.program.wait();
-        let _ = std::fs::remove_file(&self.path);
+        let _ = std::fs::remove_file(&self.config_path);
     }
 }
 
-/// Whether a text fits a pattern in which * stands for anything.
-fn fits(text: &str, pattern: &str) -> bool {
+/// Whether a text matches a pattern in which * stands for any text.
+fn matches_pattern(text: &str, pattern: &str) -> bool {
     match pattern.split_once('*') {
         None => text == pattern,
-        Some((head, tail)) => text
-            .strip_prefix(head)
-            .is_some_and(|rest| (0..=rest.len()).any(|i| rest.get(i..).is_some_and(|rest| fits(rest, tail)))),
+        Some((head, tail)) => text.strip_prefix(head).is_some_and(|rest| {
+            (0..=rest.len()).any(|i| rest.get(i..).is_some_and(|rest| matches_pattern(rest, tail)))
+        }),
     }
 }
 
-/// A text with the addresses in place of their names.
-fn named(text: &str, addresses: &BTreeMap<&str, String>) -> String {
-    addresses.iter().fold(text.to_string(), |text, (n, a)| text.replace(&format!("@{n}"), a))
+/// Replaces each `@name` by the address of the listener with that name.
+fn substitute_addresses(text: &str, addresses: &BTreeMap<&str, String>) -> String {
+    addresses
+        .iter()
+        .fold(text.to_string(), |text, (name, address)| text.replace(&format!("@{name}"), address))
 }
 
-/// The bytes of a caller's notation, up to a closing parenthesis.
-fn bytes(text: &mut &str) -> Vec<u8> {
+/// Parses the notation of a caller's bytes up to its end or to a closing parenthesis, and removes it from
+/// `text`.
+fn parse_bytes(text: &mut &str) -> Vec<u8> {
     let mut out = Vec::new();
     loop {
         *text = text.trim_start();
         if let Some(rest) = text.strip_prefix("#(") {
             *text = rest;
-            let inner = bytes(text);
+            let inner = parse_bytes(text);
             out.extend((inner.len() as u16).to_be_bytes());
             out.extend(inner);
         } else if let Some(rest) = text.strip_prefix('"') {
@@ -82,148 +97,178 @@
         } else if text.is_empty() {
             return out;
         } else {
-            out.push(u8::from_str_radix(&text[..2], 16).expect("hex"));
+            out.push(u8::from_str_radix(&text[..2], 16).expect("two hex digits"));
             *text = &text[2..];
         }
     }
 }
 
-impl Play {
-    fn start(change: Option<(&str, &str)>) -> Self {
-        let listeners: BTreeMap<_, _> =
-            ["s1", "s2", "feed", "moved"].map(|n| (n, TcpListener::bind("127.0.0.1:0").unwrap())).into();
-        let addresses: BTreeMap<_, _> =
-            listeners.iter().map(|(n, l)| (*n, l.local_addr().unwrap().to_string())).collect();
-        listeners.values().for_each(|l| SockRef::from(l).set_read_timeout(HANG).unwrap());
-        let path = std::env::temp_dir().join(format!("wheatpier-{}", addresses["feed"].replace(':', "-")));
-        let config = read("config.json");
-        let config = change.map_or(config.clone(), |(old, new)| {
+impl Runner {
+    /// Starts the program; `replacement` is an old and a new text in its configuration.
+    fn start(replacement: Option<(&str, &str)>) -> Self {
+        let listeners: BTreeMap<_, _> = ["s1", "s2", "feed", "moved"]
+            .map(|name| (name, TcpListener::bind("127.0.0.1:0").unwrap()))
+            .into();
+        let listener_addresses: BTreeMap<_, _> = listeners
+            .iter()
+            .map(|(name, listener)| (*name, listener.local_addr().unwrap().to_string()))
+            .collect();
+        for listener in listeners.values() {
+            SockRef::from(listener).set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
+        }
+        let file_name = format!("wheatpier-{}", listener_addresses["feed"].replace(':', "-"));
+        let config_path = std::env::temp_dir().join(file_name);
+        let config = read_exchange_file("config.json");
+        let config = replacement.map_or(config.clone(), |(old, new)| {
             assert!(config.contains(old), "{old} is not in the configuration");
             config.replace(old, new)
         });
-        std::fs::write(&path, named(&config, &addresses)).unwrap();
+        std::fs::write(&config_path, substitute_addresses(&config, &listener_addresses)).unwrap();
         let mut program = Command::new(env!("CARGO_BIN_EXE_wheatpier"))
-            .args(["serve", "--config", path.to_str().unwrap()])
+            .args(["serve", "--config", config_path.to_str().unwrap()])
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let (lines, (send, log)) = (BufReader::new(program.stderr.take().unwrap()).lines(), channel());
-        std::thread::spawn(move || lines.map_while(Result::ok).all(|line| send.send(line).is_ok()));
-        let connections = BTreeMap::new();
-        let mut play = Play { program, log, path, at: String::new(), listeners, addresses, connections };
-        play.at = play.wait_for("listening on ").rsplit(' ').next().unwrap().to_string();
-        play
+        let stderr_lines = BufReader::new(program.stderr.take().unwrap()).lines();
+        let (sender, log_lines) = channel();
+        std::thread::spawn(move || stderr_lines.map_while(Result::ok).all(|line| sender.send(line).is_ok()));
+        let mut runner = Runner {
+            program,
+            log_lines,
+            config_path,
+            caller_address: String::new(),
+            listeners,
+            listener_addresses,
+            connections: BTreeMap::new(),
+        };
+        let listening = runner.wait_for_log("listening on ");
+        runner.caller_address = listening.rsplit(' ').next().unwrap().to_string();
+        runner
     }
 
-    fn wait_for(&mut self, text: &str) -> String {
-        let end = Instant::now() + HANG.unwrap();
+    /// Waits for a log line that contains `text` and returns it. Lines before it are discarded.
+    fn wait_for_log(&mut self, text: &str) -> String {
+        let deadline = Instant::now() + HANG_TIMEOUT;
         loop {
-            let left = end.saturating_duration_since(Instant::now());
-            let line = self.log.recv_timeout(left).unwrap_or_else(|_| panic!("no log line {text:?}"));
+            let timeout = deadline.saturating_duration_since(Instant::now());
+            let line = self.log_lines.recv_timeout(timeout);
+            let line = line.unwrap_or_else(|_| panic!("no log line with {text:?}"));
             if line.contains(text) {
                 return line;
             }
         }
     }
 
-    fn perform(&mut self, line: &str) {
-        let (party, rest) = line.split_once(' ').expect("a party");
-        let (does, what) = rest.split_once(' ').unwrap_or((rest, ""));
-        let listener = party.trim_end_matches(['b', 'c']);
-        match (party, does) {
+    /// Executes a line of an exchange.
+    fn execute(&mut self, line: &str) {
+        let (party, rest) = line.split_once(' ').expect("a party and an action");
+        let (action, argument) = rest.split_once(' ').unwrap_or((rest, ""));
+        let listener_name = party.trim_end_matches(['b', 'c']);
+        match (party, action) {
             ("signal", name) => {
-                let id = self.program.id().to_string();
-                let kill = format!("kill -{name} {id}");
-                assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success());
+                let kill_command = format!("kill -{name} {}", self.program.id());
+                assert!(Command::new("sh").args(["-c", &kill_command]).status().unwrap().success());
             }
             ("exits", code) => assert_eq!(self.program.wait().unwrap().code(), code.parse().ok()),
             ("config", text) => {
-                let moved = read("config.json").replace("@feed", text);
-                let text = if text.starts_with('@') { named(&moved, &self.addresses) } else { text.into() };
-                std::fs::write(&self.path, text).unwrap();
+                let config = if text.starts_with('@') {
+                    let moved = read_exchange_file("config.json").replace("@feed", text);
+                    substitute_addresses(&moved, &self.listener_addresses)
+                } else {
+                    text.to_string()
+                };
+                std::fs::write(&self.config_path, config).unwrap();
             }
-            ("log", _) => drop(self.wait_for(rest)),
+            ("log", _) => drop(self.wait_for_log(rest)),
             (_, "opens" | "accepts") => {
-                let stream = match does {
-                    "opens" => TcpStream::connect(&self.at).unwrap(),
-                    _ => self.listeners[listener].accept().expect("a connection").0,
+                let stream = match action {
+                    "opens" => TcpStream::connect(&self.caller_address).unwrap(),
+                    _ => self.listeners[listener_name].accept().expect("an incoming connection").0,
                 };
-                stream.set_read_timeout(HANG).unwrap();
+                stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
                 self.connections.insert(party.to_string(), BufReader::new(stream));
             }
-            (_, "closes") => drop(self.connections.remove(party).expect("its connection")),
+            (_, "closes") => drop(self.connections.remove(party).expect("an open connection")),
             (_, "resets") => {
-                let stream = self.connections.remove(party).expect("its connection");
+                let stream = self.connections.remove(party).expect("an open connection");
                 SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
             }
-            (_, "refuses") => drop(self.listeners.remove(listener).expect("its address")),
+            (_, "refuses") => drop(self.listeners.remove(listener_name).expect("a listener")),
             (_, ">") => {
-                let bytes = self.said(party, what);
+                let bytes = self.encode(party, argument);
                 self.connections[party].get_ref().write_all(&bytes).unwrap();
             }
-            (_, "<") if what == "end" => match self.connection(party).read_until(b'\n', &mut vec![]) {
+            (_, "<") if argument == "end" => match self.connection(party).read_until(b'\n', &mut vec![]) {
                 Ok(0) => {}
-                Err(e) if e.kind() == ErrorKind::ConnectionReset => {}
-                other => panic!("{other:?} instead of the end"),
+                Err(error) if error.kind() == ErrorKind::ConnectionReset => {}
+                other => panic!("{other:?} instead of the end of the connection"),
             },
             (_, "<") if party.starts_with('c') => {
-                let wanted = self.said(party, what);
-                let mut got = vec![0; wanted.len()];
-                self.connection(party).read_exact(&mut got).unwrap();
-                assert!(got == wanted, "got {}", String::from_utf8_lossy(&got).escape_debug());
+                let expected = self.encode(party, argument);
+                let mut received = vec![0; expected.len()];
+                self.connection(party).read_exact(&mut received).unwrap();
+                assert!(
+                    received == expected,
+                    "received {}",
+                    String::from_utf8_lossy(&received).escape_debug()
+                );
             }
             (_, "<") => {
-                let mut got = String::new();
-                self.connection(party).read_line(&mut got).unwrap();
-                assert!(fits(got.trim_end(), what), "got {got}");
+                let mut received = String::new();
+                self.connection(party).read_line(&mut received).unwrap();
+                assert!(matches_pattern(received.trim_end(), argument), "received {received}");
             }
-            _ => panic!("no such line"),
+            _ => panic!("unknown action"),
         }
     }
 
     fn connection(&mut self, party: &str) -> &mut BufReader<TcpStream> {
-        self.connections.get_mut(party).expect("its connection")
+        self.connections.get_mut(party).expect("an open connection")
     }
 
-    fn said(&self, party: &str, what: &str) -> Vec<u8> {
+    /// The bytes that a party's notation stands for.
+    fn encode(&self, party: &str, notation: &str) -> Vec<u8> {
         if party.starts_with('c') {
-            return bytes(&mut &*what);
+            return parse_bytes(&mut &*notation);
         }
-        let text = named(what, &self.addresses);
-        // A line that ends in \ is a part of one.
+        let text = substitute_addresses(notation, &self.listener_addresses);
+        // A trailing \ marks an incomplete line, which gets no line break.
         text.strip_suffix('\\').map_or(format!("{text}\n"), str::to_string).into_bytes()
     }
 }
 
-/// Plays the common start and then an exchange; at its end the program must still run, or have ended as told.
-fn play(name: &str) {
-    let text = read(name);
-    let change = text.strip_prefix("with ").and_then(|t| t.lines().next()?.split_once(" => "));
-    let (mut play, mut over) = (Play::start(change), false);
+/// Runs start.txt and then an exchange. At the end the program must still run, unless the exchange waits for
+/// its exit.
+fn run_exchange(name: &str) {
+    let exchange = read_exchange_file(name);
+    let replacement = exchange.strip_prefix("with ").and_then(|rest| rest.lines().next()?.split_once(" => "));
+    let mut runner = Runner::start(replacement);
+    let mut exited = false;
     for file in ["start.txt", name] {
-        for (n, line) in read(file).lines().map(str::trim).enumerate() {
+        for (index, line) in read_exchange_file(file).lines().map(str::trim).enumerate() {
             if !line.is_empty() && !line.starts_with("//") && !line.starts_with("with ") {
-                println!("{file}:{}: {}", n + 1, line.get(..120).unwrap_or(line));
-                play.perform(line);
-                over |= line.starts_with("exits");
+                println!("{file}:{}: {}", index + 1, line.get(..120).unwrap_or(line));
+                runner.execute(line);
+                exited |= line.starts_with("exits");
             }
         }
     }
-    assert!(over || play.program.try_wait().unwrap().is_none(), "the program has ended");
+    assert!(exited || runner.program.try_wait().unwrap().is_none(), "the program has exited");
 }
 
-macro_rules! exchanges {
+/// Defines a test for each exchange, with the name of its file.
+macro_rules! exchange_tests {
     ($($name:ident)*) => {
         $(#[test]
         fn $name() {
-            play(concat!(stringify!($name), ".txt"));
+            run_exchange(concat!(stringify!($name), ".txt"));
         })*
 
         #[test]
-        fn every_recorded_exchange_is_played() {
+        fn every_exchange_file_has_a_test() {
             let files = std::fs::read_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/exchanges")).unwrap();
             let names = [$(stringify!($name)),*];
-            for file in files.map(|f| f.unwrap().file_name().into_string().unwrap()) {
+            for file in files.map(|entry| entry.unwrap().file_name().into_string().unwrap()) {
                 let name = file.trim_end_matches(".txt");
                 assert!(names.contains(&name) || ["start", "config.json"].contains(&name), "{file}");
             }
@@ -231,7 +276,7 @@
     };
 }
 
-exchanges! {
+exchange_tests! {
     a_call_from_set_up_to_release
     address_taken_over
     bad_callers
@@ -257,25 +302,25 @@
 }
 
 #[test]
-fn a_bad_configuration_gets_one_plain_message_and_a_failure() {
-    let missing = read("config.json").replace("\"groupSize\": 3,", "");
+fn invalid_configuration_gives_one_line_of_error_and_exit_code_1() {
+    let without_group_size = read_exchange_file("config.json").replace("\"groupSize\": 3,", "");
     let cases = [
         ("{", "EOF while parsing"),
         ("{\"listen\": \"127.0.0.1:0\"}", "missing field `settings`"),
-        (missing.as_str(), "settings: groupSize: missing"),
-        (&read("config.json"), "feed: \"@feed\" is no address"),
+        (without_group_size.as_str(), "settings: groupSize: missing"),
+        (&read_exchange_file("config.json"), "feed: \"@feed\" is no address"),
     ];
-    for (n, (text, problem)) in cases.iter().enumerate() {
-        let path = std::env::temp_dir().join(format!("wheatpier-bad-{}-{n}", std::process::id()));
-        std::fs::write(&path, text).unwrap();
+    for (index, (config, expected_error)) in cases.iter().enumerate() {
+        let path = std::env::temp_dir().join(format!("wheatpier-bad-{}-{index}", std::process::id()));
+        std::fs::write(&path, config).unwrap();
         for command in ["check", "serve"] {
-            let run = Command::new(env!("CARGO_BIN_EXE_wheatpier"))
+            let output = Command::new(env!("CARGO_BIN_EXE_wheatpier"))
                 .args([command, "--config", path.to_str().unwrap()])
                 .output()
                 .unwrap();
-            let said = String::from_utf8(run.stderr).unwrap();
-            assert_eq!((run.status.code(), said.lines().count()), (Some(1), 1), "{said}");
-            assert!(said.contains(problem), "{said}");
+            let stderr = String::from_utf8(output.stderr).unwrap();
+            assert_eq!((output.status.code(), stderr.lines().count()), (Some(1), 1), "{stderr}");
+            assert!(stderr.contains(expected_error), "{stderr}");
         }
         std::fs::remove_file(path).unwrap();
     }
