--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -267,7 +267,7 @@
         config_path: config.path,
     };
     gatekeeper.start_feed(config.known_events);
-    gatekeeper.look_after_callers();
+    gatekeeper.run_caller_maintenance();
 
     while !gatekeeper.complete_iteration() {
         let next_deadline = gatekeeper.call_control.next_deadline();
@@ -299,7 +299,7 @@
             match event {
                 TimerEvent::SwitchConnection(switch) => self.handle_switch_connection_timer(switch),
                 TimerEvent::ControlFeed => self.handle_feed_timer(),
-                TimerEvent::CallerMaintenance => self.look_after_callers(),
+                TimerEvent::CallerMaintenance => self.run_caller_maintenance(),
                 TimerEvent::Shutdown => {
                     if self.shutdown_started_at.is_some_and(|start| now >= start + SHUTDOWN_REJECT_AFTER) {
                         self.call_control.fail_unanswered_calls(now);
@@ -314,9 +314,9 @@
             self.ready = true;
             log("ready");
         }
-        if self.callers.has_tests() && (self.ready || self.shutdown_started_at.is_some()) {
+        if self.callers.has_pending_health_checks() && (self.ready || self.shutdown_started_at.is_some()) {
             // During a shutdown health checks fail, so that new calls are directed to another gatekeeper.
-            self.callers.pass_tests(self.shutdown_started_at.is_none());
+            self.callers.answer_health_checks(self.shutdown_started_at.is_none());
         }
         self.flush_connections();
         let is_finished = |start: Micros| {
@@ -331,7 +331,7 @@
     fn resume_reads(&mut self) {
         for pending_read in std::mem::take(&mut self.pending_reads) {
             match pending_read {
-                PendingRead::Caller(connection) => self.caller_ready(connection),
+                PendingRead::Caller(connection) => self.handle_caller_io(connection),
                 PendingRead::Switch(switch) => self.handle_switch_readiness(switch),
                 PendingRead::Feed => self.handle_feed_readiness(),
             }
--- a/src/net/switches.rs
+++ b/src/net/switches.rs
@@ -579,15 +579,15 @@
         result.is_ok() && !matches!(input.status, ReadStatus::EndOfStream | ReadStatus::Failed)
     }
 
-    /// Closes all connections to a switch and ends its attempts, as [`Gatekeeper::end_switch_connection`] does. The
-    /// next attempt to connect is due at once.
+    /// Closes all connections to a switch and ends its attempts, as [`Gatekeeper::end_switch_connection`]
+    /// does. The next attempt to connect is due at once.
     pub(super) fn close_switch_connection(&mut self, id: SwitchId) {
         let now = self.clock.now();
         self.close_switch_connection_until(id, now);
     }
 
-    /// Closes all connections to a switch and ends its attempts, as [`Gatekeeper::end_switch_connection`] does. The
-    /// next attempt to connect is due at `reconnect_at`.
+    /// Closes all connections to a switch and ends its attempts, as [`Gatekeeper::end_switch_connection`]
+    /// does. The next attempt to connect is due at `reconnect_at`.
     fn close_switch_connection_until(&mut self, id: SwitchId, reconnect_at: Micros) {
         let now = self.clock.now();
         self.end_switch_connection(id, reconnect_at, now);
