--- /dev/null
+++ b/src/call/tests.rs
@@ -0,0 +1,236 @@
+//! Tests call control with its controller and the settings of the recorded exchanges, but without sockets.
+
+use super::*;
+use crate::interface::{Health, SwitchEntry};
+use crate::settings::{build_settings, flatten_json};
+
+const MS: Micros = 1_000;
+const CALLER: ConnectionId = ConnectionId(1);
+const SWITCH: SwitchId = SwitchId(11);
+
+/// Call control of exchange 0 that knows a switch of exchange 1 with free circuits, at a time of 10 s.
+struct Fixture {
+    call_control: CallControl,
+    now: Micros,
+}
+
+impl Fixture {
+    fn new() -> Self {
+        let config: serde_json::Value =
+            serde_json::from_str(include_str!("../../tests/exchanges/config.json")).unwrap();
+        let (settings, names) = build_settings(&flatten_json(&config["settings"])).unwrap();
+        let now = 10_000 * MS;
+        let limits = CallLimits {
+            max_calls: 100,
+            max_description_bytes: 10_000,
+            max_caller_timeout: 9_000 * MS,
+            circuits_by_class: vec![1.0],
+        };
+        let mut call_control = CallControl::new(settings, names, limits, 7, now);
+        let listed = [(0, 10), (1, 11)].map(|(exchange_number, switch)| SwitchEntry {
+            switch: SwitchId(switch),
+            zone: 0,
+            exchange_number,
+            health: Health::InService,
+            up_since: None,
+        });
+        call_control.handle_switch_list(SwitchListUpdate::Full(listed.into()));
+        let report = LoadReport { free_circuits: Some(9.0), group_size: Some(9.0), ..LoadReport::default() };
+        call_control.handle_load_report(SWITCH, report);
+        let mut fixture = Fixture { call_control, now };
+        assert_eq!(fixture.run_iteration(), []);
+        fixture
+    }
+
+    fn run_due_timers(&mut self) {
+        while let Some(event) = self.call_control.timers.pop_due(self.now) {
+            self.call_control.handle_timer(self.now, event);
+        }
+    }
+
+    /// Runs the due timers and a batch, as one iteration of the event loop does; returns the commands.
+    fn run_iteration(&mut self) -> Vec<Command> {
+        self.run_due_timers();
+        self.call_control.run_batch(self.now);
+        std::mem::take(&mut self.call_control.commands)
+    }
+
+    /// Runs an iteration each millisecond until one has commands.
+    fn run_until_commands(&mut self) -> Vec<Command> {
+        for _ in 0..10_000 {
+            self.now += MS;
+            let commands = self.run_iteration();
+            if !commands.is_empty() {
+                return commands;
+            }
+        }
+        panic!("no command within 10 s");
+    }
+
+    fn set_up_call(&mut self, tag: Tag, caller_timeout: Micros) -> Vec<Command> {
+        let set_up = SetUp {
+            tag,
+            class: "check".into(),
+            called_number: format!("n{tag}"),
+            caller_timeout,
+            destination: 1,
+            circuits: 1.0,
+            via: -1,
+            ..SetUp::default()
+        };
+        self.call_control.handle_set_up(self.now, CALLER, set_up).unwrap();
+        self.now += 10 * MS;
+        self.run_iteration()
+    }
+
+    fn set_up_answered_call(&mut self, tag: Tag) {
+        let commands = self.set_up_call(tag, 3000 * MS);
+        assert!(matches!(commands[..], [Command::SetUp { .. }]), "{commands:?}");
+        self.call_control.handle_answer(self.now, SWITCH, tag, None);
+        assert_eq!(self.run_iteration(), [Command::Answer { connection: CALLER, tag, description: None }]);
+    }
+}
+
+/// The controller gives a call up 10 ms before its caller does. A batch may contain both the answer and
+/// the timer of the give-up; the caller must not get a reject after the answer.
+#[test]
+fn answer_in_the_same_batch_as_the_give_up_is_the_only_final_answer() {
+    let mut fixture = Fixture::new();
+    fixture.set_up_call(1, 300 * MS);
+    fixture.now += 285 * MS;
+    fixture.run_due_timers();
+    fixture.call_control.handle_answer(fixture.now, SWITCH, 1, None);
+    assert_eq!(fixture.run_iteration(), [Command::Answer { connection: CALLER, tag: 1, description: None }]);
+    assert_eq!(fixture.call_control.unanswered_count(), 0);
+}
+
+#[test]
+fn call_given_up_is_released_at_the_switch_before_the_reject_and_again_after_a_late_answer() {
+    let mut fixture = Fixture::new();
+    fixture.set_up_call(1, 300 * MS);
+    let commands = fixture.run_until_commands();
+    let reject = Command::Reject { connection: CALLER, tag: 1, cause: cause::TEMPORARY_FAILURE, back_off: 0 };
+    assert_eq!(commands, [Command::ReleaseAtSwitch { switch: SWITCH, tag: 1 }, reject]);
+    fixture.call_control.handle_answer(fixture.now, SWITCH, 1, None);
+    assert_eq!(fixture.run_iteration(), [Command::ReleaseAtSwitch { switch: SWITCH, tag: 1 }]);
+}
+
+#[test]
+fn call_whose_connection_is_reset_is_repeated_once_after_the_release_time() {
+    let mut fixture = Fixture::new();
+    fixture.set_up_call(1, 3000 * MS);
+    fixture.call_control.handle_connection_lost(SWITCH, fixture.now);
+    let reset_at = fixture.now;
+    let commands = fixture.run_until_commands();
+    assert!(matches!(commands[..], [Command::SetUp { tag: 1, .. }]), "{commands:?}");
+    assert!(fixture.now - reset_at >= 500 * MS);
+    // The controller may decide on an older state of the call: no second attempt is sent beside the
+    // first.
+    fixture.call_control.send_attempt(fixture.now, CallId(1), SWITCH, MS);
+    assert_eq!(std::mem::take(&mut fixture.call_control.commands), []);
+}
+
+#[test]
+fn events_wait_until_the_batch_interval_has_passed() {
+    let mut fixture = Fixture::new();
+    let report = LoadReport { free_circuits: Some(8.0), ..LoadReport::default() };
+    fixture.call_control.handle_load_report(SWITCH, report);
+    fixture.now += MS;
+    fixture.run_iteration();
+    assert_eq!(fixture.call_control.pending_events.len(), 1);
+    assert_eq!(fixture.call_control.next_deadline(), Some(fixture.now + 4 * MS));
+    fixture.now += 4 * MS;
+    fixture.run_iteration();
+    assert_eq!(fixture.call_control.pending_events.len(), 0);
+}
+
+#[test]
+fn switch_failure_ends_the_answered_calls_that_were_sent_before_it() {
+    let mut fixture = Fixture::new();
+    fixture.set_up_answered_call(1);
+    fixture.now += 100 * MS;
+    let failed_at = fixture.now;
+    fixture.now += 100 * MS;
+    fixture.set_up_answered_call(2);
+    fixture.call_control.handle_switch_down(fixture.now, SWITCH, failed_at);
+    let release =
+        Command::ReleaseToCaller { connection: Some(CALLER), tag: 1, cause: cause::TEMPORARY_FAILURE };
+    assert_eq!(fixture.run_iteration(), [Command::ReleaseAtSwitch { switch: SWITCH, tag: 1 }, release]);
+    assert!(fixture.call_control.has_calls_at(SWITCH), "the second call is still up");
+}
+
+#[test]
+fn release_of_an_unknown_call_is_passed_on_once_and_its_tag_is_kept_for_the_retention_time() {
+    let mut fixture = Fixture::new();
+    let release =
+        || Release { cause: cause::NORMAL_CLEARING, note: EndReason::Unknown, report: LoadReport::default() };
+    let command = Command::ReleaseToCaller { connection: None, tag: 5, cause: cause::NORMAL_CLEARING };
+    fixture.call_control.handle_switch_release(fixture.now, SWITCH, 5, release());
+    fixture.call_control.handle_switch_release(fixture.now, SWITCH, 5, release());
+    fixture.call_control.handle_caller_release(fixture.now, 5);
+    assert_eq!(fixture.run_iteration(), [command]);
+    fixture.now += ENDED_TAG_RETENTION + MS;
+    fixture.run_iteration();
+    assert!(fixture.call_control.ended_tags.is_empty());
+    assert!(fixture.call_control.ended_tag_expiries.is_empty());
+}
+
+#[test]
+fn set_up_is_rejected_without_the_controller_when_the_call_table_is_full() {
+    let mut fixture = Fixture::new();
+    fixture.call_control.limits.max_calls = 1;
+    fixture.set_up_call(1, 3000 * MS);
+    let reject = Command::Reject {
+        connection: CALLER,
+        tag: 2,
+        cause: cause::CONGESTION,
+        back_off: CONGESTION_BACK_OFF,
+    };
+    assert_eq!(fixture.set_up_call(2, 3000 * MS), [reject]);
+}
+
+/// The descriptions of unanswered calls take memory: their total is limited, and the bytes of a call no
+/// longer count once it is answered or released.
+#[test]
+fn description_bytes_of_unanswered_calls_are_limited() {
+    let mut fixture = Fixture::new();
+    fixture.call_control.limits.max_description_bytes = 10;
+    let set_up_call = |fixture: &mut Fixture, tag: Tag| {
+        let set_up = SetUp {
+            tag,
+            class: "check".into(),
+            called_number: "n".into(),
+            caller_timeout: 3000 * MS,
+            destination: 1,
+            circuits: 1.0,
+            description: Some("v=0 s=-".to_string()),
+            ..SetUp::default()
+        };
+        fixture.call_control.handle_set_up(fixture.now, CALLER, set_up).unwrap();
+        fixture.now += 10 * MS;
+        fixture.run_iteration()
+    };
+    assert!(matches!(set_up_call(&mut fixture, 1)[..], [Command::SetUp { tag: 1, .. }]));
+    assert!(matches!(set_up_call(&mut fixture, 2)[..], [Command::Reject { tag: 2, .. }]));
+    fixture.call_control.handle_answer(fixture.now, SWITCH, 1, None);
+    fixture.run_iteration();
+    assert!(matches!(set_up_call(&mut fixture, 3)[..], [Command::SetUp { tag: 3, .. }]));
+    fixture.call_control.handle_caller_release(fixture.now, 3);
+    assert_eq!(fixture.call_control.description_bytes, 0);
+}
+
+#[test]
+fn probe_without_an_answer_times_out_and_a_late_answer_is_ignored() {
+    let mut fixture = Fixture::new();
+    fixture.call_control.actions.push(Action::Probe(SWITCH));
+    fixture.call_control.execute_actions(fixture.now);
+    let commands = std::mem::take(&mut fixture.call_control.commands);
+    let [Command::Probe { switch: SWITCH, tag }] = commands[..] else { panic!("{commands:?}") };
+    fixture.now += PROBE_TIMEOUT;
+    fixture.call_control.handle_timer(fixture.now, TimerEvent::ProbeTimeout(tag));
+    fixture.call_control.handle_probe_result(fixture.now, tag, true, LoadReport::default());
+    assert!(matches!(
+        fixture.call_control.pending_events[..],
+        [Event::SwitchStatus { answered: false, round_trip: PROBE_TIMEOUT, .. }]
+    ));
+}
--- a/src/net/switches.rs
+++ b/src/net/switches.rs
@@ -10,6 +10,9 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
+#[cfg(test)]
+mod tests;
+
 /// Delay before the next attempt to connect after a first failure. It doubles with each further failure. Also
 /// the delay after malformed input.
 const MIN_RECONNECT_DELAY: Micros = 100_000;
@@ -766,26 +769,3 @@
     message.fields.insert("key".into(), called_number.into());
     message
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn idle_connections_are_replaced_shortly_before_the_switch_closes_them() {
-        let second = 1_000_000;
-        let long = 600_000_000;
-        assert!(!is_idle_close_imminent(long - second - 1, long));
-        assert!(is_idle_close_imminent(long - second, long) && is_idle_close_imminent(long * 2, long));
-        let short = 2 * second;
-        assert!(!is_idle_close_imminent(second, short) && is_idle_close_imminent(short, short));
-    }
-
-    #[test]
-    fn set_ups_state_the_time_left_in_whole_milliseconds() {
-        let mut message = set_up_message(7, "check".into(), "12".into(), None);
-        for (time_left, text) in [(1_500_900, "1500"), (900, "1"), (-5_000, "1")] {
-            assert_eq!(set_time_left(&mut message, time_left).field_text("left").as_deref(), Some(text));
-        }
-    }
-}
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -4,6 +4,9 @@
 use crate::interface::Micros;
 use std::collections::BTreeMap;
 
+#[cfg(test)]
+mod tests;
+
 /// Items ordered by deadline; items with the same deadline keep the order in which they were added. There is
 /// no way to cancel an item: its recipient must check whether it still applies.
 pub struct TimerQueue<T> {
@@ -42,20 +45,3 @@
         Some(first.remove())
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn due_items_are_ordered_by_deadline_and_then_by_insertion() {
-        let mut timers = TimerQueue::default();
-        for (deadline, name) in [(30, "c"), (10, "a"), (10, "b"), (40, "d")] {
-            timers.push(deadline, name);
-        }
-        assert_eq!(timers.next_deadline(), Some(10));
-        let due: Vec<_> = std::iter::from_fn(|| timers.pop_due(30)).collect();
-        assert_eq!(due, ["a", "b", "c"]);
-        assert_eq!((timers.pop_due(39), timers.next_deadline()), (None, Some(40)));
-    }
-}
