--- a/src/call.rs
+++ b/src/call.rs
@@ -39,8 +39,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// The id of a call or a probe on the wire; a call has the same one towards its caller and its switch. The
-/// controller has call ids of its own, and only [`CallControl`] translates between the two.
+/// The id of a call, a probe or a health check on the wire; a call has the same one towards its caller and
+/// its switch. The controller has call ids of its own, and only [`CallControl`] translates between the two.
 pub type Tag = u64;
 
 /// How long the tag of an ended call is kept, so that messages that still arrive for it are taken for
@@ -67,7 +67,7 @@
     pub max_calls: usize,
     /// Most bytes of session descriptions that unanswered calls may hold in total.
     pub max_description_bytes: usize,
-    /// Longest time for which a caller may say that it waits.
+    /// Longest `caller_timeout` that a set-up may state.
     pub max_caller_timeout: Micros,
     /// The circuits that a call takes, by class index. A class without an entry may take any number of them
     /// up to a fixed limit.
@@ -102,11 +102,11 @@
     pub circuits: f64,
     /// The tandem that the caller was advised to use or, in transit, the exchange from which the call comes;
     /// -1 if there is none.
-    pub via: ExchangeNumber,
+    pub via_exchange: ExchangeNumber,
     /// The call is passed on by another gatekeeper.
     pub transit: bool,
     /// The session description, which is passed on unchanged.
-    pub description: Option<String>,
+    pub session_description: Option<String>,
 }
 
 /// A release that a switch sent, of an attempt or of an answered call.
@@ -114,8 +114,8 @@
 pub struct Release {
     /// The Q.850 cause (see [`cause`]).
     pub cause: u8,
-    /// The switch's note on the cause.
-    pub note: EndReason,
+    /// The reason that the switch gives beyond the cause.
+    pub reason: EndReason,
     /// The load report that came with it.
     pub report: LoadReport,
 }
@@ -136,7 +136,7 @@
         /// When the attempt times out.
         deadline: Micros,
         /// The caller's session description.
-        description: Option<String>,
+        session_description: Option<String>,
     },
     /// Release an attempt or an answered call at a switch.
     ReleaseAtSwitch {
@@ -161,9 +161,9 @@
         /// The call.
         tag: Tag,
         /// The switch's session description.
-        description: Option<String>,
+        session_description: Option<String>,
     },
-    /// Tell a caller that its set-up was unsuccessful.
+    /// Reject a caller's set-up.
     Reject {
         /// The caller's connection.
         connection: ConnectionId,
@@ -191,7 +191,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerEvent {
     /// A timer that the controller asked for.
-    ControllerWakeUp {
+    ControllerTimer {
         /// The token that the controller gave.
         token: u64,
     },
@@ -222,7 +222,7 @@
 }
 
 enum CallState {
-    /// The caller has no final answer yet. There is an attempt out at a switch, or none while the controller
+    /// The call is not answered yet. There is an attempt out at a switch, or none while the controller
     /// decides on the call, holds it or waits before the next attempt.
     Unanswered(Option<Attempt>),
     /// The switch has answered the attempt whose set-up was sent at `sent_at`.
@@ -235,7 +235,7 @@
     class_index: usize,
     called_number: String,
     /// The caller's session description, kept until the call is answered.
-    description: Option<String>,
+    session_description: Option<String>,
     /// When the caller gives up.
     caller_deadline: Micros,
     /// The number of the next attempt; they are counted from 0.
@@ -260,7 +260,7 @@
     controller: Controller,
     names: IndexedNames,
     /// Shortest time between two batches of events.
-    batch_interval: Micros,
+    min_batch_interval: Micros,
     limits: CallLimits,
     /// Total bytes of the session descriptions in the call table.
     description_bytes: usize,
@@ -291,13 +291,13 @@
 impl CallControl {
     /// Call control with an empty call table.
     pub fn new(settings: Settings, names: IndexedNames, limits: CallLimits, seed: u64, now: Micros) -> Self {
-        let batch_interval = settings.min_batch_interval;
+        let min_batch_interval = settings.min_batch_interval;
         let mut actions = Vec::new();
         let controller = Controller::new(settings, seed, now, &mut actions);
         let mut call_control = CallControl {
             controller,
             names,
-            batch_interval,
+            min_batch_interval,
             limits,
             description_bytes: 0,
             calls: BTreeMap::new(),
@@ -322,7 +322,7 @@
         self.names.zones.iter().position(|zone| zone == name).unwrap_or(self.names.zones.len()) as u32
     }
 
-    /// The number of calls without a final answer.
+    /// The number of unanswered calls.
     pub fn unanswered_count(&self) -> usize {
         self.calls.values().filter(|call| matches!(call.state, CallState::Unanswered(_))).count()
     }
@@ -369,12 +369,13 @@
         let valid = set_up.tag != 0
             && circuits_valid
             && (0..=MAX_EXCHANGE_NUMBER).contains(&set_up.destination)
-            && (-1..=MAX_EXCHANGE_NUMBER).contains(&set_up.via)
+            && (-1..=MAX_EXCHANGE_NUMBER).contains(&set_up.via_exchange)
             && (0..=self.limits.max_caller_timeout).contains(&set_up.caller_timeout);
         if !valid {
             return Err(SetUpError::Invalid);
         }
-        let description_bytes = self.description_bytes + set_up.description.as_ref().map_or(0, String::len);
+        let description_bytes =
+            self.description_bytes + set_up.session_description.as_ref().map_or(0, String::len);
         if self.calls.len() >= self.limits.max_calls || description_bytes > self.limits.max_description_bytes
         {
             // Bounds the memory that calls take, by the limits in the settings and the configuration.
@@ -388,13 +389,13 @@
         self.call_ids.insert(set_up.tag, id);
         self.pending_events.push(Event::NewCall(NewCall {
             id,
-            class: class_index,
-            tenant: None,
+            class_index,
+            tenant_index: None,
             called_number: set_up.called_number.clone(),
-            deadline: caller_deadline,
+            caller_deadline,
             destination: set_up.destination,
             circuits: set_up.circuits,
-            via_exchange: set_up.via,
+            via_exchange: set_up.via_exchange,
             redial: set_up.redial,
             transit: set_up.transit,
         }));
@@ -403,7 +404,7 @@
             connection,
             class_index,
             called_number: set_up.called_number,
-            description: set_up.description,
+            session_description: set_up.session_description,
             caller_deadline,
             next_attempt: 0,
             state: CallState::Unanswered(None),
@@ -449,7 +450,7 @@
     }
 
     /// The tag of an unanswered call that was set up on a connection, if there is one.
-    pub fn unanswered_set_up(&self, connection: ConnectionId) -> Option<Tag> {
+    pub fn unanswered_call(&self, connection: ConnectionId) -> Option<Tag> {
         let unanswered =
             |call: &&Call| call.connection == connection && matches!(call.state, CallState::Unanswered(_));
         self.calls.values().find(unanswered).map(|call| call.tag)
@@ -485,7 +486,9 @@
     // Messages and connections of switches.
 
     /// Takes an answer from a switch.
-    pub fn handle_answer(&mut self, now: Micros, switch: SwitchId, tag: Tag, description: Option<String>) {
+    pub fn handle_answer(
+        &mut self, now: Micros, switch: SwitchId, tag: Tag, session_description: Option<String>,
+    ) {
         let id = self.call_ids.get(&tag).copied();
         let call = id.and_then(|id| self.calls.get_mut(&id).map(|call| (id, call)));
         if let Some((id, call)) = call {
@@ -494,12 +497,13 @@
                     let attempt = out.number;
                     let sent_at = out.sent_at;
                     call.state = CallState::Answered { switch, sent_at, attempt };
-                    let set_up_time = now - sent_at;
-                    // The caller's description is no longer needed, and an answered call may last long.
-                    self.description_bytes -= call.description.take().map_or(0, |text| text.len());
-                    self.pending_events.push(Event::Established { call: id, attempt, set_up_time });
+                    let set_up_delay = now - sent_at;
+                    // The caller's session description is no longer needed, and an answered call may last
+                    // long.
+                    self.description_bytes -= call.session_description.take().map_or(0, |text| text.len());
+                    self.pending_events.push(Event::Established { call: id, attempt, set_up_delay });
                     let connection = call.connection;
-                    return self.commands.push(Command::Answer { connection, tag, description });
+                    return self.commands.push(Command::Answer { connection, tag, session_description });
                 }
                 CallState::Answered { switch: answering, .. } if *answering == switch => return,
                 _ => {}
@@ -540,7 +544,7 @@
                     attempt: number,
                     switch,
                     outcome,
-                    reason: release.note,
+                    reason: release.reason,
                     call_closed: false,
                     report: release.report,
                 }));
@@ -638,9 +642,9 @@
         }
     }
 
-    /// Takes a list of switches, or changes to it.
-    pub fn handle_switch_list(&mut self, list: SwitchListUpdate) {
-        self.pending_events.push(Event::SwitchList(list));
+    /// Takes an update of the switch list.
+    pub fn handle_switch_list(&mut self, update: SwitchListUpdate) {
+        self.pending_events.push(Event::SwitchList(update));
     }
 
     /// Removes an answered call and releases it towards its caller.
@@ -676,7 +680,7 @@
     /// Handles an expired timer of call control; those of the network code are ignored.
     pub fn handle_timer(&mut self, now: Micros, event: TimerEvent) {
         match event {
-            TimerEvent::ControllerWakeUp { token } => self.pending_events.push(Event::Timer(token)),
+            TimerEvent::ControllerTimer { token } => self.pending_events.push(Event::Timer(token)),
             TimerEvent::AttemptTimeout { call: id, attempt: number } => {
                 let Some(call) = self.calls.get_mut(&id) else { return };
                 let CallState::Unanswered(Some(attempt)) = &call.state else { return };
@@ -706,7 +710,7 @@
         if self.pending_events.is_empty() || now < self.next_batch_at {
             return;
         }
-        self.next_batch_at = now + self.batch_interval;
+        self.next_batch_at = now + self.min_batch_interval;
         for event in std::mem::take(&mut self.pending_events) {
             self.controller.handle(now, event, &mut self.actions);
         }
@@ -749,7 +753,7 @@
                 Action::Subscribe => {}
                 Action::SetTimer { after, token } => {
                     let deadline = now.saturating_add(after.max(0));
-                    self.timers.push(deadline, TimerEvent::ControllerWakeUp { token });
+                    self.timers.push(deadline, TimerEvent::ControllerTimer { token });
                 }
                 Action::Log(line) => self.commands.push(Command::Log(line)),
             }
@@ -772,13 +776,12 @@
             class: self.names.classes.get(call.class_index).cloned().unwrap_or_default(),
             called_number: call.called_number.clone(),
             deadline,
-            description: call.description.clone(),
+            session_description: call.session_description.clone(),
         });
         self.timers.push(deadline, TimerEvent::AttemptTimeout { call: id, attempt: number });
     }
 
-    /// Gives an unanswered call its final answer. A call that has been answered in the meantime is left
-    /// alone.
+    /// Rejects an unanswered call. A call that has been answered in the meantime is left alone.
     fn reject_call(&mut self, now: Micros, id: CallId, cause: u8, back_off: Micros) {
         if !self.calls.get(&id).is_some_and(|call| matches!(call.state, CallState::Unanswered(_))) {
             return;
@@ -791,11 +794,11 @@
     }
 
     /// Removes a call from the call table. All calls are removed here, so that their tags and their share of
-    /// the description bytes are always freed.
+    /// the bytes of session descriptions are always freed.
     fn remove_call(&mut self, now: Micros, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         self.call_ids.remove(&call.tag);
-        self.description_bytes -= call.description.as_ref().map_or(0, String::len);
+        self.description_bytes -= call.session_description.as_ref().map_or(0, String::len);
         self.record_ended_tag(now, call.tag);
         Some(call)
     }
@@ -827,7 +830,7 @@
     }
 
     /// Rejects all unanswered calls, because the program stops before they would time out.
-    pub fn fail_unanswered_calls(&mut self, now: Micros) {
+    pub fn reject_unanswered_calls(&mut self, now: Micros) {
         let ids: Vec<CallId> = self.calls.keys().copied().collect();
         ids.into_iter().for_each(|id| self.reject_call(now, id, cause::TEMPORARY_FAILURE, 0));
     }
--- a/src/call/tests.rs
+++ b/src/call/tests.rs
@@ -29,7 +29,7 @@
         let mut call_control = CallControl::new(settings, names, limits, 7, now);
         let listed = [(0, 10), (1, 11)].map(|(exchange_number, switch)| SwitchEntry {
             switch: SwitchId(switch),
-            zone: 0,
+            zone_index: 0,
             exchange_number,
             health: Health::InService,
             up_since: None,
@@ -75,7 +75,7 @@
             caller_timeout,
             destination: 1,
             circuits: 1.0,
-            via: -1,
+            via_exchange: -1,
             ..SetUp::default()
         };
         self.call_control.handle_set_up(self.now, CALLER, set_up).unwrap();
@@ -87,25 +87,31 @@
         let commands = self.set_up_call(tag, 3000 * MS);
         assert!(matches!(commands[..], [Command::SetUp { .. }]), "{commands:?}");
         self.call_control.handle_answer(self.now, SWITCH, tag, None);
-        assert_eq!(self.run_iteration(), [Command::Answer { connection: CALLER, tag, description: None }]);
+        assert_eq!(
+            self.run_iteration(),
+            [Command::Answer { connection: CALLER, tag, session_description: None }]
+        );
     }
 }
 
-/// The controller gives a call up 10 ms before its caller does. A batch may contain both the answer and
-/// the timer of the give-up; the caller must not get a reject after the answer.
+/// The controller rejects a call 10 ms before its caller gives up. A batch may contain both the answer and
+/// the timer of the rejection; the caller must not get a rejection after the answer.
 #[test]
-fn answer_in_the_same_batch_as_the_give_up_is_the_only_final_answer() {
+fn call_answered_in_the_batch_of_its_rejection_is_not_rejected() {
     let mut fixture = Fixture::new();
     fixture.set_up_call(1, 300 * MS);
     fixture.now += 285 * MS;
     fixture.run_due_timers();
     fixture.call_control.handle_answer(fixture.now, SWITCH, 1, None);
-    assert_eq!(fixture.run_iteration(), [Command::Answer { connection: CALLER, tag: 1, description: None }]);
+    assert_eq!(
+        fixture.run_iteration(),
+        [Command::Answer { connection: CALLER, tag: 1, session_description: None }]
+    );
     assert_eq!(fixture.call_control.unanswered_count(), 0);
 }
 
 #[test]
-fn call_given_up_is_released_at_the_switch_before_the_reject_and_again_after_a_late_answer() {
+fn call_is_released_at_the_switch_before_the_rejection_and_again_after_a_late_answer() {
     let mut fixture = Fixture::new();
     fixture.set_up_call(1, 300 * MS);
     let commands = fixture.run_until_commands();
@@ -116,7 +122,7 @@
 }
 
 #[test]
-fn call_whose_connection_is_reset_is_repeated_once_after_the_release_time() {
+fn call_whose_connection_is_reset_is_repeated_once_after_the_release_wait() {
     let mut fixture = Fixture::new();
     fixture.set_up_call(1, 3000 * MS);
     fixture.call_control.handle_connection_lost(SWITCH, fixture.now);
@@ -162,8 +168,11 @@
 #[test]
 fn release_of_an_unknown_call_is_passed_on_once_and_its_tag_is_kept_for_the_retention_time() {
     let mut fixture = Fixture::new();
-    let release =
-        || Release { cause: cause::NORMAL_CLEARING, note: EndReason::Unknown, report: LoadReport::default() };
+    let release = || Release {
+        cause: cause::NORMAL_CLEARING,
+        reason: EndReason::Unknown,
+        report: LoadReport::default(),
+    };
     let command = Command::ReleaseToCaller { connection: None, tag: 5, cause: cause::NORMAL_CLEARING };
     fixture.call_control.handle_switch_release(fixture.now, SWITCH, 5, release());
     fixture.call_control.handle_switch_release(fixture.now, SWITCH, 5, release());
@@ -203,7 +212,7 @@
             caller_timeout: 3000 * MS,
             destination: 1,
             circuits: 1.0,
-            description: Some("v=0 s=-".to_string()),
+            session_description: Some("v=0 s=-".to_string()),
             ..SetUp::default()
         };
         fixture.call_control.handle_set_up(fixture.now, CALLER, set_up).unwrap();
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,4 +1,5 @@
-//! All decisions of wheatpier. Settings, events and actions are defined in `src/interface.rs`.
+//! The decision module: all decisions of wheatpier. Settings, events and actions are defined in
+//! `src/interface.rs`.
 //!
 //! A call leaves by the processor of the own exchange (the own processor) and is set up at a carrier switch,
 //! whose processor is the far processor. The pressure on a processor is 1 - d0/d: d is its present set-up
@@ -77,8 +78,8 @@
 /// Most overdue set-ups to one far processor that count as overdue at the own processor, so that no single
 /// far processor decides.
 const MAX_OVERDUE_PER_SWITCH: usize = 2;
-/// How long the module relies on what it last saw of a group of circuits between two other exchanges: that it
-/// had room, or was full.
+/// How long the controller relies on what it last saw of a group of circuits between two other exchanges:
+/// that it had room, or was full.
 const MIN_REMOTE_GROUP_VALIDITY: Micros = 8 * SECOND;
 /// A group found full again is taken for full for twice as long, up to this time: it may not exist at all.
 const MAX_REMOTE_GROUP_VALIDITY: Micros = 64 * SECOND;
@@ -90,11 +91,11 @@
 const TRAFFIC_TIME_CONSTANT_S: f64 = 8.0;
 /// Time constant of the traffic offered to a processor while it is warm.
 const WARM_TRAFFIC_TIME_CONSTANT_S: f64 = 4.0 * TRAFFIC_TIME_CONSTANT_S;
-/// Set-up time over a tandem, as a multiple of the direct one: three processors handle the call instead of
+/// Set-up delay over a tandem, as a multiple of the direct one: three processors handle the call instead of
 /// two.
 const TANDEM_SET_UP_FACTOR: f64 = 1.5;
-/// Unanswered attempts in a row after which a processor is suspected to be down.
-const UNANSWERED_UNTIL_SUSPECTED: u32 = 2;
+/// Attempts in a row without a response after which a processor is suspected to be down.
+const MISSED_RESPONSES_UNTIL_SUSPECTED: u32 = 2;
 /// First interval between trial calls to a suspected processor, as a share of the shortest set-up target.
 /// With a target of half a second, intervals of seconds would reject nearly all calls after a short silence.
 const FIRST_TRIAL_INTERVAL_SHARE: f64 = 4.0 / 15.0;
@@ -113,15 +114,15 @@
 const BACK_OFF_TARGET_SHARE: f64 = 0.25;
 /// If no event was handled for this long although a tick was due, this process itself was stalled.
 const STALL_TIME: Micros = 10 * CONTROL_PERIOD;
-/// A call to the same number within this time of the first try of a call that was not established is taken
+/// A call to the same number within this time of the first try of a call that was not answered is taken
 /// for its redial. Callers that do not mark their redials would otherwise get the full value of a first try.
 const REDIAL_WINDOW: Micros = 10 * SECOND;
 /// How long no calls are sent to a number whose lines were all busy.
 const MIN_BUSY_NUMBER_WAIT: Micros = SECOND;
 /// The time doubles each time that the number is found busy again, up to this.
 const MAX_BUSY_NUMBER_WAIT: Micros = 8 * SECOND;
-/// A call gets its final answer this many batch intervals before its caller gives up, so that it comes in
-/// time.
+/// An unanswered call is ended this many batch intervals before its caller gives up, so that the rejection
+/// comes in time.
 const DEADLINE_MARGIN_BATCHES: Micros = 2;
 
 // Timer tokens: the kind in the lowest two bits, the call's id above them.
@@ -175,7 +176,7 @@
     Attempting { switch: SwitchId, sent_at: Micros, tandem: bool },
     /// Waits for `Call::release_until` before the next attempt.
     AwaitingRelease,
-    /// The call is established.
+    /// The call is answered.
     Established,
 }
 
@@ -367,7 +368,7 @@
     }
 }
 
-/// An attempt that has not been answered.
+/// An attempt in progress.
 struct PendingAttempt {
     sent_at: Micros,
     call: CallId,
@@ -376,7 +377,7 @@
 /// State of a switch and of the group of circuits towards it.
 struct Switch {
     entry: SwitchEntry,
-    /// When the module learned that the switch drains or is gone.
+    /// When the controller learned that the switch drains or is gone.
     leaving_since: Option<Micros>,
     /// Free circuits of the group, where they were reported.
     free_circuits: Option<f64>,
@@ -385,10 +386,10 @@
     overload: OverloadControl,
     /// Attempts in progress, the oldest first.
     pending: Vec<PendingAttempt>,
-    /// Unanswered attempts since the last answer.
-    unanswered_in_a_row: u32,
-    /// When an attempt last ended without an answer.
-    last_unanswered_at: Micros,
+    /// Attempts without a response since the last response.
+    missed_responses: u32,
+    /// When an attempt last ended without a response.
+    last_missed_response_at: Micros,
     /// The processor is suspected to be down: only single trial calls are sent to it.
     suspected: bool,
     /// Interval between trial calls, as a share of the shortest set-up target.
@@ -405,8 +406,8 @@
             group_size,
             overload: OverloadControl::default(),
             pending: vec![],
-            unanswered_in_a_row: 0,
-            last_unanswered_at: 0,
+            missed_responses: 0,
+            last_missed_response_at: 0,
             suspected: false,
             trial_interval_share: FIRST_TRIAL_INTERVAL_SHARE,
             next_trial_at: 0,
@@ -460,14 +461,14 @@
     /// The own processor. It is not measured itself; its delay is what the set-ups to all switches have in
     /// common.
     own_processor: OverloadControl,
-    /// When a call was last established.
-    last_established_at: Micros,
+    /// When a call was last answered.
+    last_answered_at: Micros,
     started_at: Micros,
     /// Groups of circuits between other exchanges, by [`group_key`].
     remote_groups: BTreeMap<(ExchangeNumber, ExchangeNumber), RemoteGroup>,
     exchanges: BTreeMap<ExchangeNumber, Exchange>,
     busy_numbers: BTreeMap<String, BusyNumber>,
-    /// Numbers of calls that were not established, and when their callers first tried.
+    /// Numbers of calls that were not answered, and when their callers first tried.
     unsuccessful_numbers: BTreeMap<String, Micros>,
     /// Calls offered, by value in thousandths, the lowest first.
     offered_by_value: BTreeMap<i64, AverageRate>,
@@ -500,7 +501,7 @@
             calls: BTreeMap::new(),
             switches: BTreeMap::new(),
             own_processor,
-            last_established_at: now,
+            last_answered_at: now,
             started_at: now,
             remote_groups: BTreeMap::new(),
             exchanges: BTreeMap::new(),
@@ -526,8 +527,8 @@
         match event {
             Event::SwitchList(update) => self.on_switch_list(now, update, actions),
             Event::NewCall(request) => self.on_new_call(now, request, actions),
-            Event::Established { call, attempt, set_up_time } => {
-                self.on_established(now, call, attempt, set_up_time, actions);
+            Event::Established { call, attempt, set_up_delay } => {
+                self.on_established(now, call, attempt, set_up_delay, actions);
             }
             Event::AttemptEnded(end) => self.on_attempt_ended(now, end, actions),
             Event::CallerGone(call) => self.remove_call(call),
@@ -541,7 +542,7 @@
                 self.on_load_report(now, switch, &report);
                 if answered && round_trip > 0 {
                     self.switches.entry(switch).and_modify(|s| s.overload.probe_answered_at = now);
-                    self.on_answer(switch, actions);
+                    self.on_response(switch, actions);
                 }
             }
             Event::PeerMessage { .. } => {}
@@ -583,9 +584,9 @@
         };
         for entry in entries {
             let id = entry.switch;
-            let number = entry.exchange_number;
+            let exchange_number = entry.exchange_number;
             let first_budget = self.random_unit();
-            let exchange = self.exchanges.entry(number).or_default();
+            let exchange = self.exchanges.entry(exchange_number).or_default();
             let known = self.switches.get(&id);
             let has_started = known.is_none_or(|switch| {
                 entry.up_since != switch.entry.up_since && entry.health == Health::InService
@@ -596,8 +597,8 @@
                 exchange.cold_budget_calls = first_budget;
                 exchange.cold_budget_at = now;
                 // A machine that replaces another serves the same group of circuits.
-                let predecessor =
-                    known.or_else(|| self.switches.values().find(|s| s.entry.exchange_number == number));
+                let predecessor = known
+                    .or_else(|| self.switches.values().find(|s| s.entry.exchange_number == exchange_number));
                 let (free_circuits, group_size) =
                     predecessor.map_or((None, 0.0), |switch| (switch.free_circuits, switch.group_size));
                 self.switches.insert(id, Switch::new(entry.clone(), free_circuits, group_size));
@@ -650,10 +651,10 @@
         }
     }
 
-    /// A processor has answered, whatever the answer.
-    fn on_answer(&mut self, id: SwitchId, actions: &mut Vec<Action>) {
+    /// A processor has responded: with an answer, a release or the answer to a probe.
+    fn on_response(&mut self, id: SwitchId, actions: &mut Vec<Action>) {
         let Some(switch) = self.switches.get_mut(&id) else { return };
-        switch.unanswered_in_a_row = 0;
+        switch.missed_responses = 0;
         if switch.suspected {
             switch.suspected = false;
             switch.trial_interval_share = FIRST_TRIAL_INTERVAL_SHARE;
@@ -661,22 +662,22 @@
         }
     }
 
-    /// An attempt has ended without an answer.
-    fn on_no_answer(&mut self, now: Micros, id: SwitchId, timed_out: bool, actions: &mut Vec<Action>) {
+    /// An attempt has ended without a response.
+    fn on_missed_response(&mut self, now: Micros, id: SwitchId, timed_out: bool, actions: &mut Vec<Action>) {
         let interval_share = self.switches.get(&id).map(|switch| switch.trial_interval_share);
         let interval = interval_share.map_or(0, |share| self.share_of_shortest_target(share));
         let interval = self.with_jitter(interval);
         let Some(switch) = self.switches.get_mut(&id) else { return };
         // A connection that breaks ends all attempts on it at the same time: they count once, however many.
-        if !timed_out && switch.last_unanswered_at == now {
+        if !timed_out && switch.last_missed_response_at == now {
             return;
         }
-        switch.unanswered_in_a_row += 1;
-        switch.last_unanswered_at = now;
+        switch.missed_responses += 1;
+        switch.last_missed_response_at = now;
         if switch.suspected {
             switch.trial_interval_share = (switch.trial_interval_share * 2.0).min(MAX_TRIAL_INTERVAL_SHARE);
             switch.next_trial_at = now + interval;
-        } else if switch.unanswered_in_a_row >= UNANSWERED_UNTIL_SUSPECTED {
+        } else if switch.missed_responses >= MISSED_RESPONSES_UNTIL_SUSPECTED {
             switch.suspected = true;
             switch.next_trial_at = now + interval;
             actions.push(Action::Log(format!("switch {} does not answer: trial calls only", id.0)));
@@ -782,18 +783,18 @@
 
     fn on_new_call(&mut self, now: Micros, request: NewCall, actions: &mut Vec<Action>) {
         let id = request.id;
-        if self.calls.contains_key(&id) || request.class >= self.settings.classes.len() {
+        if self.calls.contains_key(&id) || request.class_index >= self.settings.classes.len() {
             return;
         }
         let destination = request.destination;
         let via_exchange = request.via_exchange;
         let transit = request.transit;
         let after =
-            (request.deadline - DEADLINE_MARGIN_BATCHES * self.settings.min_batch_interval - now).max(0);
+            (request.caller_deadline - DEADLINE_MARGIN_BATCHES * self.settings.min_batch_interval - now)
+                .max(0);
         actions.push(Action::SetTimer { after, token: timer_token(TIMER_DEADLINE, id) });
         let number_is_busy =
             self.busy_numbers.get(&request.called_number).is_some_and(|number| number.wait_until > now);
-        // A number called again soon after its call was rejected is a redial, whether it is marked so or not.
         let earlier_try = self.unsuccessful_numbers.remove(&request.called_number);
         let redial_of = earlier_try.filter(|tried_at| !transit && now < tried_at + REDIAL_WINDOW);
         let first_tried_at = redial_of.unwrap_or(now);
@@ -809,7 +810,7 @@
         };
         let value = self.call_value(now, &call);
         if !transit && is_first_try {
-            let tenant_calls = call.request.tenant.and_then(|tenant| self.tenant_calls.get_mut(tenant));
+            let tenant_calls = call.request.tenant_index.and_then(|tenant| self.tenant_calls.get_mut(tenant));
             tenant_calls.into_iter().for_each(|rate| rate.add(now, TRAFFIC_TIME_CONSTANT_S, 1.0));
         }
         self.calls.insert(id, call);
@@ -839,8 +840,7 @@
         let warm_time = if is_cold { 0 } else { now - exchange.warm_seconds.updated_at.max(self.started_at) };
         exchange.warm_calls.add(now, WARM_TRAFFIC_TIME_CONSTANT_S, warm_calls);
         exchange.warm_seconds.add(now, WARM_TRAFFIC_TIME_CONSTANT_S, warm_time as f64 / 1e6);
-        // A suspected processor gets single trial calls. Its reject ratio does not apply to them: it has had
-        // no samples.
+        // The reject ratio of a suspected processor does not apply to trial calls: it has had no samples.
         let is_trial = switch.suspected && switch.is_trial_due(now);
         let own_ratio = self.own_processor.reject_ratio;
         let far_ratio = if is_trial { 0.0 } else { switch.overload.reject_ratio };
@@ -862,14 +862,14 @@
     /// The value of a call in thousandths, in steps of 50: that of its class, less for a call that is late or
     /// beyond its tenant's quota.
     fn call_value(&self, now: Micros, call: &Call) -> i64 {
-        let class = &self.settings.classes[call.request.class];
+        let class = &self.settings.classes[call.request.class_index];
         let mut value = class.value;
         // A redial whose first try is not known counts as late.
         let is_first_try = call.attempts == 0 && call.first_tried_at == now;
         if now >= call.first_tried_at + class.set_up_target || (call.request.redial && is_first_try) {
             value *= class.late_value_factor;
         }
-        if let Some(tenant) = call.request.tenant.filter(|tenant| *tenant < self.tenant_calls.len()) {
+        if let Some(tenant) = call.request.tenant_index.filter(|tenant| *tenant < self.tenant_calls.len()) {
             let calls_per_s: f64 =
                 self.tenant_calls.iter().map(|rate| rate.read(now, TRAFFIC_TIME_CONSTANT_S)).sum();
             let quotas_per_s: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
@@ -915,15 +915,14 @@
         }
     }
 
-    /// The direct route if its group has room, else one tandem, chosen at random among those whose group has
-    /// room beyond the trunk reservation.
+    /// The route for a call, direct or over a tandem; `None` if there is none.
     fn choose_route(&mut self, now: Micros, id: CallId) -> Option<Route> {
         let unknown_leg_draw = self.random_unit();
         let call = self.calls.get(&id)?;
         let destination = call.request.destination;
         let circuits = call.request.circuits;
         let transit = call.request.transit;
-        let class = &self.settings.classes[call.request.class];
+        let class = &self.settings.classes[call.request.class_index];
         let time_to_target = call.first_tried_at + class.set_up_target - now;
         let time_left = if time_to_target > 0 { time_to_target } else { class.set_up_target };
         let short_timeout = time_left.min((class.set_up_target as f64 * ATTEMPT_TARGET_SHARE) as Micros);
@@ -944,15 +943,15 @@
         }
         // Usable tandems, and whether the second leg, from there to the destination, was last seen with room.
         let mut tandems: Vec<(SwitchId, bool)> = Vec::new();
-        for (number, exchange) in &self.exchanges {
-            if *number == destination || call.tried_exchanges.contains(number) {
+        for (exchange_number, exchange) in &self.exchanges {
+            if *exchange_number == destination || call.tried_exchanges.contains(exchange_number) {
                 continue;
             }
             let is_eligible = !self.settings.pool_topology
                 || class.eligible_pools.is_empty()
-                || class.eligible_pools.contains(number);
+                || class.eligible_pools.contains(exchange_number);
             let Some(tandem) = exchange.switch_in_service.filter(|_| is_eligible) else { continue };
-            let remote_group = self.remote_groups.get(&group_key(*number, destination));
+            let remote_group = self.remote_groups.get(&group_key(*exchange_number, destination));
             let second_leg_had_room =
                 remote_group.filter(|group| group.valid_until > now).map(|group| group.had_room);
             let has_room = second_leg_had_room != Some(false)
@@ -1020,17 +1019,17 @@
         let (Some(call), Some(switch)) = (self.calls.get(&id), self.switches.get(&switch_id)) else {
             return false;
         };
-        let number = switch.entry.exchange_number;
-        let is_direct = number == call.request.destination;
-        let class = &self.settings.classes[call.request.class];
+        let exchange_number = switch.entry.exchange_number;
+        let is_direct = exchange_number == call.request.destination;
+        let class = &self.settings.classes[call.request.class_index];
         let can_be_answered =
-            now + DEADLINE_MARGIN_BATCHES * self.settings.min_batch_interval < call.request.deadline;
+            now + DEADLINE_MARGIN_BATCHES * self.settings.min_batch_interval < call.request.caller_deadline;
         let is_released = now >= call.release_until;
         let is_unrouted = call.state == CallState::Unrouted;
         let has_attempts_left = call.attempts < self.settings.max_attempts;
         // A transit call goes on to its destination only.
         let is_allowed_route = is_direct || (!call.request.transit && tandem);
-        let is_own_exchange = number == self.settings.own_exchange && !self.settings.pool_topology;
+        let is_own_exchange = exchange_number == self.settings.own_exchange && !self.settings.pool_topology;
         let may_be_repeated = match (class.repeat_policy, &call.maybe_executed) {
             (RepeatPolicy::Idempotent, _) | (_, None) => true,
             (RepeatPolicy::AtMostOnce, Some(_)) => false,
@@ -1038,8 +1037,12 @@
                 let first_entry = self.switches.get(&first.switch).map(|switch| &switch.entry);
                 let in_scope = match class.deduplication_scope {
                     DeduplicationScope::AllExchanges => true,
-                    DeduplicationScope::Zone => first_entry.is_some_and(|e| e.zone == switch.entry.zone),
-                    DeduplicationScope::Exchange => first_entry.is_some_and(|e| e.exchange_number == number),
+                    DeduplicationScope::Zone => {
+                        first_entry.is_some_and(|e| e.zone_index == switch.entry.zone_index)
+                    }
+                    DeduplicationScope::Exchange => {
+                        first_entry.is_some_and(|e| e.exchange_number == exchange_number)
+                    }
                 };
                 in_scope && now < first.sent_at + class.deduplication_window
             }
@@ -1095,12 +1098,12 @@
             return false;
         }
         let switch = &self.switches[&route.switch];
-        let number = switch.entry.exchange_number;
+        let exchange_number = switch.entry.exchange_number;
         let is_cold = switch.is_cold(now, &self.settings);
         let cold_budget = self.cold_budget(now, switch);
         let trial_interval = self.share_of_shortest_target(switch.trial_interval_share);
         let trial_interval = self.with_jitter(trial_interval);
-        let exchange = self.exchanges.entry(number).or_default();
+        let exchange = self.exchanges.entry(exchange_number).or_default();
         if is_cold {
             exchange.cold_budget_calls = cold_budget - 1.0;
             exchange.cold_budget_at = now;
@@ -1114,14 +1117,14 @@
         switch.pending.push(PendingAttempt { sent_at: now, call: id });
         call.state = CallState::Attempting { switch: route.switch, sent_at: now, tandem: route.tandem };
         call.attempts += 1;
-        call.tried_exchanges.push(number);
+        call.tried_exchanges.push(exchange_number);
         let timeout = route.timeout.max(self.settings.min_batch_interval);
         actions.push(Action::SendSetUp { call: id, switch: route.switch, timeout });
         true
     }
 
     fn on_established(
-        &mut self, now: Micros, id: CallId, attempt: u32, set_up_time: Micros, actions: &mut Vec<Action>,
+        &mut self, now: Micros, id: CallId, attempt: u32, set_up_delay: Micros, actions: &mut Vec<Action>,
     ) {
         let Some(call) = self.calls.get_mut(&id).filter(|call| attempt + 1 == call.attempts) else { return };
         let CallState::Attempting { switch, sent_at, tandem } = call.state else { return };
@@ -1130,15 +1133,15 @@
         if tandem {
             self.record_second_leg(now, switch, destination, true);
         }
-        let direct_set_up_time =
-            if tandem { (set_up_time as f64 / TANDEM_SET_UP_FACTOR) as Micros } else { set_up_time };
+        let direct_set_up_delay =
+            if tandem { (set_up_delay as f64 / TANDEM_SET_UP_FACTOR) as Micros } else { set_up_delay };
         self.remove_pending(id, switch);
-        self.on_answer(switch, actions);
-        self.last_established_at = now;
+        self.on_response(switch, actions);
+        self.last_answered_at = now;
         // The answer to a set-up sent before a stall and handled right after it may have waited for this
         // process: its delay proves nothing.
         if sent_at >= self.resumed_at || now > self.resumed_at {
-            self.record_set_up_delay(now, switch, direct_set_up_time.max(1));
+            self.record_set_up_delay(now, switch, direct_set_up_delay.max(1));
         }
     }
 
@@ -1169,42 +1172,43 @@
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
             call.release_until = now + self.settings.release_wait + self.settings.min_batch_interval;
         }
-        let set_up_target = self.settings.classes[call.request.class].set_up_target;
+        let set_up_target = self.settings.classes[call.request.class_index].set_up_target;
         let time_to_target = call.first_tried_at + set_up_target - now;
         let called_number = call.request.called_number.clone();
         let destination = call.request.destination;
         let transit = call.request.transit;
         self.remove_pending(id, switch);
         if matches!(outcome, Outcome::Completed | Outcome::Failed | Outcome::Congested | Outcome::Cancelled) {
-            self.on_answer(switch, actions);
+            self.on_response(switch, actions);
         }
         // A time-out of a set-up sent before this time proves nothing: the set-up was lost on the way, or its
         // answer came during a stall.
         let probe_answered_at = self.switches.get(&switch).map_or(0, |s| s.overload.probe_answered_at);
         let valid_from = probe_answered_at.max(self.resumed_at);
         let mut number_is_busy = false;
-        let mut try_again = false;
+        let mut attempt_again = false;
         match (outcome, end.reason) {
             (Outcome::TimedOut, _) if sent_at < valid_from => {
-                try_again = tandem || sent_at >= self.resumed_at;
+                attempt_again = tandem || sent_at >= self.resumed_at;
             }
-            // No call was established anywhere since: it is the own processor that does not respond.
-            (Outcome::TimedOut, _) if self.last_established_at < sent_at => {
+            // No call was answered anywhere since: it is the own processor that does not respond.
+            (Outcome::TimedOut, _) if self.last_answered_at < sent_at => {
                 self.own_processor.add_sample(now, INFINITE_DELAY);
-                try_again = tandem || self.answers_quickly(switch, time_to_target);
+                attempt_again = tandem || self.answers_quickly(switch, time_to_target);
             }
-            // A broken connection or a dead processor resets each new set-up: resets count as unanswered too.
+            // A broken connection or a dead processor resets each new set-up: a reset counts as a missed
+            // response too.
             (Outcome::TimedOut | Outcome::Unreachable | Outcome::Reset, _) => {
                 if outcome != Outcome::Reset {
                     self.record_set_up_delay(now, switch, INFINITE_DELAY);
                 }
-                self.on_no_answer(now, switch, outcome == Outcome::TimedOut, actions);
-                try_again =
+                self.on_missed_response(now, switch, outcome == Outcome::TimedOut, actions);
+                attempt_again =
                     tandem || outcome == Outcome::Reset || self.answers_quickly(switch, time_to_target);
             }
             (Outcome::NotSent, reason) if !matches!(reason, EndReason::ProcessorCongested(_)) => {
                 self.switches.entry(switch).and_modify(|s| s.free_circuits = Some(0.0));
-                try_again = true;
+                attempt_again = true;
             }
             (Outcome::Congested, EndReason::CongestedBeyondTandem) => {
                 if let Some(congested) = self.switch_serving(destination) {
@@ -1219,7 +1223,7 @@
                     self.record_second_leg(now, switch, destination, false);
                 }
                 // At most one attempt follows, even if the settings allow more.
-                try_again = self.calls[&id].attempts < 2;
+                attempt_again = self.calls[&id].attempts < 2;
             }
             (Outcome::Failed, EndReason::SubscriberBusy) => {
                 let known = self.busy_numbers.get(&called_number);
@@ -1230,7 +1234,7 @@
             // Some processors fail most set-ups at once. Where answers are quick, another attempt costs
             // little; a single failure may be due to the call itself.
             (Outcome::Failed, _) => {
-                try_again = self.answers_quickly(switch, time_to_target)
+                attempt_again = self.answers_quickly(switch, time_to_target)
                     && self.switches[&switch].overload.last_set_up_failed;
                 self.switches.entry(switch).and_modify(|s| s.overload.last_set_up_failed = true);
             }
@@ -1240,7 +1244,7 @@
         if end.call_closed {
             return self.remove_call(id);
         }
-        if !try_again || transit {
+        if !attempt_again || transit {
             return self.reject_or_fail(id, number_is_busy, actions);
         }
         let call = self.calls.get_mut(&id).expect("found above");
@@ -1253,11 +1257,11 @@
         }
     }
 
-    /// Gives the one final answer to a call that is not established, and removes the call. A rejection tells
-    /// the caller that it may try again.
+    /// Ends a call that is not answered, either by a rejection, which tells the caller that it may try again,
+    /// or as failed, and removes it.
     fn reject_or_fail(&mut self, id: CallId, number_is_busy: bool, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else { return };
-        let class = &self.settings.classes[call.request.class];
+        let class = &self.settings.classes[call.request.class_index];
         let is_deduplicated_everywhere = class.repeat_policy == RepeatPolicy::Deduplicated
             && class.deduplication_scope == DeduplicationScope::AllExchanges;
         let may_be_repeated = class.repeat_policy == RepeatPolicy::Idempotent
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -4,7 +4,7 @@
 /// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
-/// A call, numbered by the gatekeeper that runs the module.
+/// A call, numbered by the gatekeeper that runs the controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
@@ -64,7 +64,7 @@
     pub quota_per_s: f64,
 }
 
-/// Settings of the deployment, passed to the module at its start.
+/// Settings of the deployment, passed to the controller at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The gatekeeper's own exchange; -1 where there is none (pool topology).
@@ -134,7 +134,7 @@
     /// The switch.
     pub switch: SwitchId,
     /// Index of its zone.
-    pub zone: u32,
+    pub zone_index: u32,
     /// Number of the exchange that it serves.
     pub exchange_number: ExchangeNumber,
     /// Its state.
@@ -178,7 +178,7 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The call was established and has ended.
+    /// The call was answered and has ended.
     Completed,
     /// All lines of the called number are busy, or there was a signalling fault.
     Failed,
@@ -188,7 +188,7 @@
     TimedOut,
     /// The switch could not be reached.
     Unreachable,
-    /// The set-up or the established call was cut off.
+    /// The set-up or the answered call was cut off.
     Reset,
     /// Cancelled, or released by the caller.
     Cancelled,
@@ -214,19 +214,19 @@
     SubscriberBusy,
 }
 
-/// A call handed to the module for a decision.
+/// A call handed to the controller for a decision.
 #[derive(Clone, Debug)]
 pub struct NewCall {
     /// Its id.
     pub id: CallId,
     /// Index of its class.
-    pub class: usize,
+    pub class_index: usize,
     /// Index of its tenant.
-    pub tenant: Option<usize>,
+    pub tenant_index: Option<usize>,
     /// The subscriber's number that was called.
     pub called_number: String,
     /// When the caller gives up.
-    pub deadline: Micros,
+    pub caller_deadline: Micros,
     /// The exchange that it is for.
     pub destination: ExchangeNumber,
     /// Number of circuits that it takes.
@@ -245,7 +245,7 @@
 pub struct AttemptEnd {
     /// The call.
     pub call: CallId,
-    /// Index of the attempt, from 0.
+    /// Number of the attempt, from 0.
     pub attempt: u32,
     /// The switch that the set-up was sent to.
     pub switch: SwitchId,
@@ -253,33 +253,33 @@
     pub outcome: Outcome,
     /// Why it ended.
     pub reason: EndReason,
-    /// The call is over: the module owes it no further action.
+    /// The call is over: the controller owes it no further action.
     pub call_closed: bool,
     /// The load that the switch reports.
     pub report: LoadReport,
 }
 
-/// An event that the module takes.
+/// An event that the controller takes.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An update of the switch list.
     SwitchList(SwitchListUpdate),
     /// A call to decide on.
     NewCall(NewCall),
-    /// A call was established.
+    /// A call was answered.
     Established {
         /// The call.
         call: CallId,
-        /// Index of the attempt, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// How long the set-up took.
-        set_up_time: Micros,
+        /// The set-up delay: the time from the set-up to its answer.
+        set_up_delay: Micros,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The caller has gone: the module owes the call no further action.
+    /// The caller has gone: the controller owes the call no further action.
     CallerGone(CallId),
-    /// A timer of the module has expired; carries the token of [`Action::SetTimer`].
+    /// A timer of the controller has expired; carries the token of [`Action::SetTimer`].
     Timer(u64),
     /// The result of a probe, or an unsolicited load report.
     SwitchStatus {
@@ -301,7 +301,7 @@
     },
 }
 
-/// An action that the module asks for. Actions are carried out in the order given.
+/// An action that the controller asks for. Actions are carried out in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a set-up.
@@ -313,20 +313,20 @@
         /// Time-out of the attempt.
         timeout: Micros,
     },
-    /// Final answer: the call is rejected and may be tried again.
+    /// End the call by a rejection; the caller may try again.
     Reject {
         /// The call.
         call: CallId,
         /// How long the caller should wait before it redials; 0 gives no advice.
         back_off: Micros,
     },
-    /// Final answer: the call has failed.
+    /// End the call as failed.
     Fail(CallId),
     /// Stop waiting for an attempt.
     Cancel {
         /// The call.
         call: CallId,
-        /// Index of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
     /// Probe a switch.
--- a/src/net/binary.rs
+++ b/src/net/binary.rs
@@ -1,8 +1,10 @@
 //! Encoder and incremental decoder of the binary messages exchanged with callers. Does no I/O.
 //!
-//! Layout: `length:2 type:1 call_reference:8 parameters`, where each parameter is `code:1 length:2 value`.
+//! Layout: `length:2 type:1 tag:8 parameters`, where each parameter is `code:1 length:2 value`.
 //! All integers are big-endian. Each length counts the bytes that follow it.
 
+use crate::call::Tag;
+
 #[cfg(test)]
 mod tests;
 
@@ -11,7 +13,7 @@
 
 /// Size of a message's length field.
 const LENGTH_FIELD_BYTES: usize = 2;
-/// Size of the fields that every message has after its length: the type and the call reference.
+/// Size of the fields that every message has after its length: the type and the tag.
 const FIXED_FIELDS_BYTES: usize = 9;
 /// Size of a parameter's code and length.
 const PARAMETER_HEADER_BYTES: usize = 3;
@@ -24,7 +26,7 @@
     pub const PROGRESS: u8 = 6;
     /// Answer to a set-up; may carry a session description.
     pub const ANSWER: u8 = 9;
-    /// Rejection of a set-up, withdrawal of a set-up, or release of a call; carries a cause.
+    /// Rejection of a set-up, or release of an unanswered or an answered call; carries a cause.
     pub const RELEASE: u8 = 12;
     /// Acknowledgement of a release.
     pub const RELEASE_COMPLETE: u8 = 16;
@@ -38,8 +40,8 @@
 pub mod parameter_code {
     /// Class of call.
     pub const CLASS: u8 = 180;
-    /// How long the caller will wait for an answer, in milliseconds, as decimal text.
-    pub const TIME_LEFT: u8 = 182;
+    /// How long the caller waits for an answer, in milliseconds, as decimal text.
+    pub const CALLER_TIMEOUT: u8 = 182;
     /// Marks a redial by the caller; the value `0` means that it is none.
     pub const REDIAL: u8 = 186;
     /// Number called.
@@ -68,16 +70,16 @@
 pub struct Message {
     /// One of [`message_type`], or any other type that was received.
     pub message_type: u8,
-    /// Identifier of the call on the wire.
-    pub call_reference: u64,
+    /// The tag of the call or, in a health check, of the check.
+    pub tag: Tag,
     /// Parameters in the order of the message.
     pub parameters: Vec<Parameter>,
 }
 
 impl Message {
     /// Creates a message without parameters.
-    pub fn new(message_type: u8, call_reference: u64) -> Self {
-        Message { message_type, call_reference, parameters: vec![] }
+    pub fn new(message_type: u8, tag: Tag) -> Self {
+        Message { message_type, tag, parameters: vec![] }
     }
 
     /// Appends a parameter.
@@ -106,7 +108,7 @@
         }
         out.extend_from_slice(&(length as u16).to_be_bytes());
         out.push(self.message_type);
-        out.extend_from_slice(&self.call_reference.to_be_bytes());
+        out.extend_from_slice(&self.tag.to_be_bytes());
         for Parameter { code, value } in &self.parameters {
             out.push(*code);
             out.extend_from_slice(&(value.len() as u16).to_be_bytes());
--- a/src/net/binary/tests.rs
+++ b/src/net/binary/tests.rs
@@ -31,7 +31,7 @@
 
 #[test]
 fn malformed_messages_are_rejected() {
-    assert!(decode(&[0, 8]).is_err(), "too short for the type and the call reference");
+    assert!(decode(&[0, 8]).is_err(), "too short for the type and the tag");
     let overlong_value = [&[0, 12, 1][..], &[0; 8], &[180, 0, 1]].concat();
     assert!(decode(&overlong_value).is_err(), "a parameter value past the end of the message");
     let missing_length = [&[0, 10, 1][..], &[0; 8], &[180]].concat();
--- a/src/net/callers.rs
+++ b/src/net/callers.rs
@@ -23,7 +23,7 @@
 /// the rest of a message is still missing this long after its first part.
 const RECEIVE_TIMEOUT: Micros = 2_000_000;
 /// A connection at a higher trust level is closed after this time without activity, unless it has an
-/// unanswered set-up. Callers close their idle connections after 4 s.
+/// unanswered call. Callers close their idle connections after 4 s.
 const IDLE_TIMEOUT: Micros = 5_000_000;
 /// A release that has waited this long for a connection at [`TrustLevel::ValidMessage`] or higher is sent on
 /// any connection.
@@ -33,7 +33,7 @@
 /// A connection that releases more unknown calls than this is closed. After a restart of the gatekeeper, all
 /// calls that were set up before it are unknown.
 const MAX_UNKNOWN_RELEASES: u32 = 1024;
-/// Most unanswered set-ups on a connection on which no call has been answered yet. Only a caller that sends
+/// Most unanswered calls on a connection on which no call has been answered yet. Only a caller that sends
 /// without reading the replies exceeds it.
 const MAX_SET_UPS_BEFORE_FIRST_ANSWER: usize = 128;
 /// Longest called number that a set-up may have.
@@ -55,8 +55,8 @@
 /// A connection from a caller.
 struct CallerConnection {
     connection: Connection,
-    /// The caller has finished sending. The connection is closed once its set-ups have their final answers
-    /// and all output is sent.
+    /// The caller has finished sending. The connection is closed once its set-ups have been answered or
+    /// rejected and all output is sent.
     half_closed: bool,
     trust: TrustLevel,
     /// When the last set-up that was accepted, health check or release was received, or the last answer was
@@ -135,7 +135,7 @@
     fn add_connection(&mut self, now: Micros, stream: TcpStream) {
         self.last_connection_id += 1;
         let id = ConnectionId(self.last_connection_id);
-        let callback = move |gatekeeper: &mut Gatekeeper| gatekeeper.handle_caller_io(id);
+        let callback = move |gatekeeper: &mut Gatekeeper| gatekeeper.handle_caller_readiness(id);
         match Connection::new(&self.loop_handle, stream, self.max_unsent_bytes, callback) {
             Ok(connection) => {
                 let caller = CallerConnection {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The connection to close in favour of a new one: of those without an unanswered set-up and with the
+    /// The connection to close in favour of a new one: of those without an unanswered call and with the
     /// lowest trust level, the one that has been inactive for longest.
     fn eviction_candidate(&self, unanswered: &BTreeMap<ConnectionId, usize>) -> Option<ConnectionId> {
         let idle = self.connections.iter().filter(|(id, _)| !unanswered.contains_key(id));
@@ -187,7 +187,7 @@
     }
 
     /// Appends a message to the output buffer of a connection, if it is still open.
-    fn send(&mut self, id: ConnectionId, message: &Message) {
+    fn write_message(&mut self, id: ConnectionId, message: &Message) {
         if let Some(caller) = self.connections.get_mut(&id)
             && !message.encode(caller.connection.output_buffer())
         {
@@ -196,24 +196,26 @@
     }
 
     /// Tells a caller that its call is answered.
-    pub fn answer(&mut self, now: Micros, id: ConnectionId, tag: Tag, description: Option<String>) {
+    pub fn answer(&mut self, now: Micros, id: ConnectionId, tag: Tag, session_description: Option<String>) {
         let answer = Message::new(message_type::ANSWER, tag);
-        let answer = match description {
-            Some(description) => answer.with_parameter(parameter_code::SESSION_DESCRIPTION, description),
+        let answer = match session_description {
+            Some(session_description) => {
+                answer.with_parameter(parameter_code::SESSION_DESCRIPTION, session_description)
+            }
             None => answer,
         };
-        self.send(id, &answer);
+        self.write_message(id, &answer);
         self.record_activity(now, id, TrustLevel::AnsweredCall);
     }
 
-    /// Tells a caller that its set-up was unsuccessful, and for how long to back off unless `back_off` is 0.
+    /// Rejects a caller's set-up, and tells it for how long to back off unless `back_off` is 0.
     pub fn reject(&mut self, id: ConnectionId, tag: Tag, cause: u8, back_off: Micros) {
         let mut reject =
             Message::new(message_type::RELEASE, tag).with_parameter(parameter_code::CAUSE, [cause]);
         if back_off > 0 {
             reject = reject.with_parameter(parameter_code::BACK_OFF, (back_off / 1000).max(1).to_string());
         }
-        self.send(id, &reject);
+        self.write_message(id, &reject);
     }
 
     /// Releases an answered call towards its caller: on the connection of its set-up if that is open,
@@ -231,7 +233,7 @@
     }
 
     fn send_release(&mut self, id: ConnectionId, tag: Tag, cause: u8) {
-        self.send(
+        self.write_message(
             id,
             &Message::new(message_type::RELEASE, tag).with_parameter(parameter_code::CAUSE, [cause]),
         );
@@ -262,7 +264,7 @@
     /// Answers all pending health checks with the same result.
     pub fn answer_health_checks(&mut self, passed: bool) {
         for check in std::mem::take(&mut self.pending_health_checks) {
-            self.send(
+            self.write_message(
                 check.connection_id,
                 &Message::new(message_type::HEALTH_CHECK_RESULT, check.tag)
                     .with_parameter(parameter_code::CAUSE, [u8::from(passed)]),
@@ -282,7 +284,7 @@
 
     /// Sends as much output as the sockets accept. Returns the connections to close: those that have failed,
     /// and half-closed ones with nothing left to send.
-    pub fn flush(&mut self, has_unanswered_set_up: impl Fn(ConnectionId) -> bool) -> Vec<ConnectionId> {
+    pub fn flush(&mut self, has_unanswered_call: impl Fn(ConnectionId) -> bool) -> Vec<ConnectionId> {
         let mut to_close = Vec::new();
         for (id, caller) in &mut self.connections {
             let failed = match caller.connection.flush() {
@@ -292,8 +294,8 @@
                     true
                 }
             };
-            let drained = caller.half_closed && caller.connection.is_flushed();
-            if failed || (drained && !has_unanswered_set_up(*id)) {
+            let ended = caller.half_closed && caller.connection.is_flushed();
+            if failed || (ended && !has_unanswered_call(*id)) {
                 to_close.push(*id);
             }
         }
@@ -323,8 +325,9 @@
                         // connections that are open but unused would keep callers out.
                         let unanswered = self.call_control.unanswered_by_connection();
                         match self.callers.eviction_candidate(&unanswered) {
-                            Some(id) => self.close_caller_with_reason(id, "a new connection needs its place"),
-                            // The new connection is closed, since all others have unanswered set-ups.
+                            Some(id) => self
+                                .close_caller_connection_with_reason(id, "a new connection needs its place"),
+                            // The new connection is closed, since all others have unanswered calls.
                             None => continue,
                         }
                     }
@@ -343,7 +346,7 @@
         let now = self.clock.now();
         let unanswered = self.call_control.unanswered_by_connection();
         for (id, reason) in self.callers.timed_out_connections(now, &unanswered) {
-            self.close_caller_with_reason(id, reason);
+            self.close_caller_connection_with_reason(id, reason);
         }
         self.callers.send_pending_releases(now);
         let count = std::mem::take(&mut self.callers.unlogged_closes);
@@ -356,10 +359,10 @@
 
     /// Closes a connection for a reason to be logged. Many may be closed in a short time, so the maintenance
     /// writes one log line for all that were closed since its last run.
-    fn close_caller_with_reason(&mut self, id: ConnectionId, reason: &str) {
+    fn close_caller_connection_with_reason(&mut self, id: ConnectionId, reason: &str) {
         self.callers.last_close_reason = reason.to_string();
         self.callers.unlogged_closes += 1;
-        self.close_caller(id);
+        self.close_caller_connection(id);
     }
 
     /// Counts a set-up that is invalid or has a tag that is in use, and closes the connection if it has sent
@@ -369,19 +372,19 @@
         caller.set_up_errors += 1;
         let stays_open = caller.set_up_errors < SET_UP_ERROR_LIMIT;
         if !stays_open {
-            self.close_caller_with_reason(id, reason);
+            self.close_caller_connection_with_reason(id, reason);
         }
         stays_open
     }
 
-    /// Handles input on a caller's connection; also called when its socket accepts output again.
-    pub(super) fn handle_caller_io(&mut self, id: ConnectionId) {
+    /// A caller's connection has become readable or writable, or has failed.
+    pub(super) fn handle_caller_readiness(&mut self, id: ConnectionId) {
         let now = self.clock.now();
         let Some(caller) = self.callers.connections.get_mut(&id) else { return };
         if caller.half_closed {
             // There is no more input; only a reset of the connection can still be reported.
             if !matches!(caller.connection.check_connected(), Ok(true)) {
-                self.close_caller(id);
+                self.close_caller_connection(id);
             }
             return;
         }
@@ -396,23 +399,23 @@
             }
         }
         if let Err(error) = result {
-            return self.close_caller_with_reason(id, &format!("it sent {error}"));
+            return self.close_caller_connection_with_reason(id, &format!("it sent {error}"));
         }
         match read_status {
             ReadStatus::WouldBlock => {}
-            // Only one chunk is read per iteration, so that a busy caller does not keep the others waiting.
+            // The next chunk is read in the next iteration of the event loop.
             ReadStatus::MorePossible => self.pending_reads.push(PendingRead::Caller(id)),
-            ReadStatus::Failed => self.close_caller(id),
-            ReadStatus::EndOfStream => match self.call_control.unanswered_set_up(id) {
+            ReadStatus::Failed => self.close_caller_connection(id),
+            ReadStatus::EndOfStream => match self.call_control.unanswered_call(id) {
                 // The caller may have shut down only its sending side and still wait for the answer. If it
                 // has closed the whole connection, its host answers this message, which carries no
                 // information, with a reset.
                 Some(tag) => {
-                    self.callers.send(id, &Message::new(message_type::PROGRESS, tag));
+                    self.callers.write_message(id, &Message::new(message_type::PROGRESS, tag));
                     self.callers.connections.entry(id).and_modify(|caller| caller.half_closed = true);
                 }
                 // A health check that is still pending on the connection is not answered.
-                None => self.close_caller(id),
+                None => self.close_caller_connection(id),
             },
         }
     }
@@ -420,20 +423,20 @@
     /// Handles a message from a caller. Returns false if the connection has been closed because of it.
     fn handle_caller_message(&mut self, id: ConnectionId, message: Message) -> bool {
         let now = self.clock.now();
-        let tag = message.call_reference;
+        let tag = message.tag;
         let trust = self.callers.connections.get(&id).map_or(TrustLevel::Unknown, |caller| caller.trust);
         match message.message_type {
             message_type::SET_UP => return self.handle_set_up_message(now, id, &message, trust),
             message_type::RELEASE if tag != 0 => {
                 let known = self.call_control.handle_caller_release(now, tag);
-                self.callers.send(id, &Message::new(message_type::RELEASE_COMPLETE, tag));
+                self.callers.write_message(id, &Message::new(message_type::RELEASE_COMPLETE, tag));
                 self.callers.record_activity(now, id, trust);
                 if !known && let Some(caller) = self.callers.connections.get_mut(&id) {
                     // Limits the load on the switches: the release of an unknown call is sent to all of them,
                     // since the call may be up at any one.
                     caller.unknown_releases += 1;
                     if caller.unknown_releases > MAX_UNKNOWN_RELEASES {
-                        self.close_caller_with_reason(id, "it released too many unknown calls");
+                        self.close_caller_connection_with_reason(id, "it released too many unknown calls");
                         return false;
                     }
                 }
@@ -450,7 +453,7 @@
             // A working caller may use message types of a later version of the protocol.
             _ if trust == TrustLevel::AnsweredCall => {}
             _ => {
-                self.close_caller_with_reason(id, "it sent a message that no caller sends");
+                self.close_caller_connection_with_reason(id, "it sent a message that no caller sends");
                 return false;
             }
         }
@@ -461,7 +464,7 @@
     fn handle_set_up_message(
         &mut self, now: Micros, id: ConnectionId, message: &Message, trust: TrustLevel,
     ) -> bool {
-        let tag = message.call_reference;
+        let tag = message.tag;
         let no_answered_call = trust != TrustLevel::AnsweredCall;
         let result = match parse_set_up(message) {
             Some(_)
@@ -489,7 +492,7 @@
             // A reply with this tag could be taken for the reply to the first set-up, so the connection is
             // closed instead.
             Err(SetUpError::TagInUse) if no_answered_call => {
-                self.close_caller_with_reason(id, "it sent a set-up with a tag that is in use");
+                self.close_caller_connection_with_reason(id, "it sent a set-up with a tag that is in use");
                 return false;
             }
             Err(SetUpError::TagInUse) => {
@@ -500,8 +503,8 @@
         true
     }
 
-    /// Closes a caller's connection, which releases the unanswered set-ups on it.
-    pub(super) fn close_caller(&mut self, id: ConnectionId) {
+    /// Closes a caller's connection, which releases the unanswered calls on it.
+    pub(super) fn close_caller_connection(&mut self, id: ConnectionId) {
         self.callers.close(id);
         let now = self.clock.now();
         self.call_control.handle_caller_disconnect(now, id);
@@ -518,20 +521,20 @@
         return None;
     }
     let mut set_up = SetUp {
-        tag: message.call_reference,
+        tag: message.tag,
         class: message.text_parameter(parameter_code::CLASS)?.to_string(),
         called_number: called_number.to_string(),
         caller_timeout: message
-            .text_parameter(parameter_code::TIME_LEFT)?
+            .text_parameter(parameter_code::CALLER_TIMEOUT)?
             .parse::<i64>()
             .ok()?
             .saturating_mul(1000),
         redial: message.text_parameter(parameter_code::REDIAL).is_some_and(|value| value != "0"),
         destination: -1,
         circuits: 1.0,
-        via: -1,
+        via_exchange: -1,
         transit: false,
-        description: None,
+        session_description: None,
     };
     let attributes = message.text_parameter(parameter_code::ROUTING)?.split(';');
     for attribute in attributes.filter(|attribute| !attribute.is_empty()) {
@@ -543,15 +546,15 @@
         match name {
             "dest" => set_up.destination = integer?,
             "width" => set_up.circuits = value,
-            "via" => set_up.via = integer?,
+            "via" => set_up.via_exchange = integer?,
             "transit" => set_up.transit = integer? != 0,
             _ => {}
         }
     }
-    if let Some(description) = message.parameter(parameter_code::SESSION_DESCRIPTION) {
+    if let Some(session_description) = message.parameter(parameter_code::SESSION_DESCRIPTION) {
         // The JSON lines of the switches' protocol hold text only: a description that is not UTF-8 could not
         // be passed on unchanged.
-        set_up.description = Some(String::from_utf8(description.to_vec()).ok()?);
+        set_up.session_description = Some(String::from_utf8(session_description.to_vec()).ok()?);
     }
     Some(set_up)
 }
--- a/src/net/feed.rs
+++ b/src/net/feed.rs
@@ -1,4 +1,4 @@
-//! The control feed: a connection on which numbered events arrive that change the list of carrier switches.
+//! The control feed: a connection on which numbered events arrive that change the switch list.
 
 use super::lines;
 use super::link::{Connection, DecodeResult, ReadStatus};
@@ -15,7 +15,7 @@
 const CONNECT_TIMEOUT: Micros = 1_000_000;
 /// The feed sends a line each second; a connection that has been silent for this long is replaced.
 const SILENCE_TIMEOUT: Micros = 2_500_000;
-/// Delay before the next connection attempt.
+/// Delay before the next attempt to connect.
 const RECONNECT_DELAY: Micros = 200_000;
 
 /// An event of the feed: one of its lines, or one of the events in the configuration's `known`.
@@ -24,14 +24,14 @@
     /// Number of the event.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The change to the switch list; `None` if there is none.
+    /// The update of the switch list; `None` if there is none.
     #[serde(default, rename = "members")]
-    pub list_change: Option<ListChange>,
+    pub list_update: Option<ListUpdate>,
 }
 
-/// A change to the switch list.
+/// An update of the switch list.
 #[derive(Clone, Debug, Deserialize)]
-pub struct ListChange {
+pub struct ListUpdate {
     /// The entries are the whole list; switches without an entry are gone.
     #[serde(default, rename = "whole")]
     pub is_full: bool,
@@ -40,7 +40,7 @@
     pub entries: Vec<serde_json::Value>,
 }
 
-/// An entry of the switch list.
+/// An entry of the switch list as the feed sends it.
 #[derive(Deserialize)]
 struct ListEntry {
     #[serde(rename = "host")]
@@ -48,13 +48,13 @@
     #[serde(default, rename = "dial")]
     address: String,
     #[serde(default, rename = "site")]
-    zone: String,
+    zone_name: String,
     #[serde(rename = "block")]
     exchange_number: ExchangeNumber,
     health: EntryHealth,
     /// Unix time of the switch's last start, in milliseconds; 0 if it is unknown.
     #[serde(default, rename = "born_ms")]
-    started_at_unix_ms: f64,
+    up_since_unix_ms: f64,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
@@ -68,7 +68,7 @@
 }
 
 impl ListEntry {
-    fn to_host(&self, clock: &Clock) -> ListedSwitch {
+    fn to_listed_switch(&self, clock: &Clock) -> ListedSwitch {
         ListedSwitch {
             name: self.name.clone(),
             address: self.address.parse().ok(),
@@ -78,7 +78,7 @@
                 EntryHealth::Draining => Health::Draining,
                 EntryHealth::Deleted => Health::Gone,
             },
-            up_since: clock.from_unix_ms(self.started_at_unix_ms as i64),
+            up_since: clock.from_unix_ms(self.up_since_unix_ms as i64),
         }
     }
 }
@@ -88,7 +88,7 @@
 pub struct KnownEvents {
     /// Number of the last event.
     #[serde(default, rename = "n")]
-    pub last_event: u64,
+    pub last_event_number: u64,
     /// The events, which the feed has sent before the start.
     #[serde(default)]
     pub events: Vec<FeedEvent>,
@@ -96,13 +96,13 @@
 
 /// The connection to the control feed.
 pub struct ControlFeed {
-    handle: LoopHandle<'static, Gatekeeper>,
+    loop_handle: LoopHandle<'static, Gatekeeper>,
     address: Option<SocketAddr>,
     connection: Option<Connection>,
     /// The connection is established, and `SUB` has been put into its output buffer.
     subscribed: bool,
     /// Number of the last event.
-    last_event: u64,
+    last_event_number: u64,
     /// When the connection times out or, if there is none, the next attempt is made.
     timer_deadline: Micros,
     /// Events after this number were missing and have been requested by a new `SUB`, which is done only once.
@@ -115,14 +115,14 @@
 impl ControlFeed {
     /// Creates a feed that is not connected yet.
     pub fn new(
-        handle: LoopHandle<'static, Gatekeeper>, address: Option<SocketAddr>, max_line_bytes: usize,
+        loop_handle: LoopHandle<'static, Gatekeeper>, address: Option<SocketAddr>, max_line_bytes: usize,
     ) -> Self {
         ControlFeed {
-            handle,
+            loop_handle,
             address,
             connection: None,
             subscribed: false,
-            last_event: 0,
+            last_event_number: 0,
             timer_deadline: 0,
             gap_after: None,
             max_line_bytes,
@@ -167,9 +167,9 @@
 impl Gatekeeper {
     /// Applies the events that are known at the start, and connects.
     pub(super) fn start_feed(&mut self, known_events: KnownEvents) {
-        let last_event = known_events.last_event;
+        let last_event_number = known_events.last_event_number;
         self.apply_known_events(known_events);
-        self.feed.last_event = self.feed.last_event.max(last_event);
+        self.feed.last_event_number = self.feed.last_event_number.max(last_event_number);
         self.connect_feed();
     }
 
@@ -181,7 +181,7 @@
             // The new feed is asked at once for all events after the last one that the old feed sent.
             self.feed.address = address;
             self.feed.gap_after = None;
-            self.close_feed("address changed", 0);
+            self.close_feed_connection("address changed", 0);
         }
     }
 
@@ -189,10 +189,10 @@
     /// list: the feed sends all that are missing.
     fn apply_known_events(&mut self, known_events: KnownEvents) {
         for event in known_events.events {
-            let is_full = event.list_change.as_ref().is_some_and(|change| change.is_full);
-            let is_next = event.number == self.feed.last_event.saturating_add(1);
-            if event.number > self.feed.last_event && (is_next || is_full) {
-                self.feed.last_event = event.number;
+            let is_full = event.list_update.as_ref().is_some_and(|update| update.is_full);
+            let is_next = event.number == self.feed.last_event_number.saturating_add(1);
+            if event.number > self.feed.last_event_number && (is_next || is_full) {
+                self.feed.last_event_number = event.number;
                 self.apply_feed_event(event);
             }
         }
@@ -203,7 +203,7 @@
         let Some(address) = self.feed.address else { return };
         let max_unsent_bytes = self.feed.max_line_bytes;
         match Connection::connect(
-            &self.feed.handle,
+            &self.feed.loop_handle,
             address,
             max_unsent_bytes,
             Gatekeeper::handle_feed_readiness,
@@ -222,10 +222,10 @@
 
     /// Closes the connection, if there is one, and sets the timer for the next attempt. All connections to
     /// the feed are closed here.
-    pub(super) fn close_feed(&mut self, reason: &str, reconnect_delay: Micros) {
-        log(&format!("control feed: {reason}; reconnecting after event {}", self.feed.last_event));
+    pub(super) fn close_feed_connection(&mut self, reason: &str, reconnect_delay: Micros) {
+        log(&format!("control feed: {reason}; reconnecting after event {}", self.feed.last_event_number));
         if let Some(connection) = self.feed.connection.take() {
-            connection.close(&self.feed.handle);
+            connection.close(&self.feed.loop_handle);
         }
         self.feed.subscribed = false;
         let now = self.clock.now();
@@ -241,12 +241,12 @@
         }
         match (&self.feed.connection, self.feed.subscribed) {
             (None, _) => self.connect_feed(),
-            (Some(_), true) => self.close_feed("silent for too long", 0),
-            (Some(_), false) => self.close_feed("connecting timed out", 0),
+            (Some(_), true) => self.close_feed_connection("silent for too long", 0),
+            (Some(_), false) => self.close_feed_connection("connecting timed out", 0),
         }
     }
 
-    /// Handles a connection that is readable or writable.
+    /// The connection has become readable or writable, or has failed.
     pub(super) fn handle_feed_readiness(&mut self) {
         let now = self.clock.now();
         let Some(connection) = &mut self.feed.connection else { return };
@@ -255,12 +255,12 @@
                 Ok(false) => return,
                 Ok(true) => {
                     self.feed.subscribed = true;
-                    let request = format!("SUB {}\n", self.feed.last_event);
+                    let request = format!("SUB {}\n", self.feed.last_event_number);
                     connection.output_buffer().extend_from_slice(request.as_bytes());
                     self.set_feed_timer(now + SILENCE_TIMEOUT);
                 }
                 Err(error) => {
-                    return self.close_feed(&format!("cannot connect: {error}"), RECONNECT_DELAY);
+                    return self.close_feed_connection(&format!("cannot connect: {error}"), RECONNECT_DELAY);
                 }
             }
         }
@@ -273,51 +273,51 @@
         }
         for line in lines {
             if !self.handle_feed_line(line) {
-                return self.close_feed("events are missing", 0);
+                return self.close_feed_connection("events are missing", 0);
             }
         }
         if let Err(error) = result {
-            return self.close_feed(&format!("received {error}"), RECONNECT_DELAY);
+            return self.close_feed_connection(&format!("received {error}"), RECONNECT_DELAY);
         }
         match status {
             ReadStatus::WouldBlock => {}
             ReadStatus::MorePossible => self.pending_reads.push(PendingRead::Feed),
             ReadStatus::EndOfStream | ReadStatus::Failed => {
-                self.close_feed("connection closed or reset", RECONNECT_DELAY);
+                self.close_feed_connection("connection closed or reset", RECONNECT_DELAY);
             }
         }
     }
 
     /// Handles a line. Returns false if earlier events are missing and must be requested.
     fn handle_feed_line(&mut self, line: FeedLine) -> bool {
-        let last_event = self.feed.last_event;
+        let last_event_number = self.feed.last_event_number;
         let gap_after = self.feed.gap_after;
         let event = match line {
-            FeedLine::LastEventNumber(number) if number <= last_event => return true,
+            FeedLine::LastEventNumber(number) if number <= last_event_number => return true,
             FeedLine::LastEventNumber(_) => {
                 // After SUB the feed sends the later events before its first number line. So the event with
                 // this number should have come already.
-                self.feed.gap_after = Some(last_event);
-                return gap_after == Some(last_event);
+                self.feed.gap_after = Some(last_event_number);
+                return gap_after == Some(last_event_number);
             }
-            FeedLine::Event(event) if event.number <= last_event => return true,
+            FeedLine::Event(event) if event.number <= last_event_number => return true,
             FeedLine::Event(event) => event,
         };
-        let is_full = event.list_change.as_ref().is_some_and(|change| change.is_full);
-        if event.number > last_event + 1 && !is_full && gap_after != Some(last_event) {
-            self.feed.gap_after = Some(last_event);
+        let is_full = event.list_update.as_ref().is_some_and(|update| update.is_full);
+        if event.number > last_event_number + 1 && !is_full && gap_after != Some(last_event_number) {
+            self.feed.gap_after = Some(last_event_number);
             return false;
         }
-        self.feed.last_event = event.number;
+        self.feed.last_event_number = event.number;
         self.apply_feed_event(event);
         true
     }
 
     fn apply_feed_event(&mut self, event: FeedEvent) {
-        let Some(change) = event.list_change else { return };
-        let mut switch_entries = Vec::with_capacity(change.entries.len());
+        let Some(update) = event.list_update else { return };
+        let mut switch_entries = Vec::with_capacity(update.entries.len());
         let mut listed_names = Vec::new();
-        for value in change.entries {
+        for value in update.entries {
             let entry = match ListEntry::deserialize(&value) {
                 Ok(entry) => entry,
                 Err(error) => {
@@ -325,26 +325,26 @@
                     continue;
                 }
             };
-            let host = entry.to_host(&self.clock);
-            let zone = self.call_control.zone_index(&entry.zone);
-            let exchange_number = host.exchange_number;
-            let health = host.health;
-            let up_since = host.up_since;
-            let switch = self.switches.get_or_assign_id(&host.name, health);
+            let listed = entry.to_listed_switch(&self.clock);
+            let zone_index = self.call_control.zone_index(&entry.zone_name);
+            let exchange_number = listed.exchange_number;
+            let health = listed.health;
+            let up_since = listed.up_since;
+            let switch = self.switches.get_or_assign_id(&listed.name, health);
             switch_entries.extend(switch.map(|switch| SwitchEntry {
                 switch,
-                zone,
+                zone_index,
                 exchange_number,
                 health,
                 up_since,
             }));
-            listed_names.push(host.name.clone());
-            self.update_switch(host);
+            listed_names.push(listed.name.clone());
+            self.update_switch(listed);
         }
-        if change.is_full {
+        if update.is_full {
             self.remove_unlisted_switches(&listed_names);
         }
-        self.call_control.handle_switch_list(if change.is_full {
+        self.call_control.handle_switch_list(if update.is_full {
             SwitchListUpdate::Full(switch_entries)
         } else {
             SwitchListUpdate::Changes(switch_entries)
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -1,5 +1,6 @@
 //! Encoder and incremental decoder of the JSON lines exchanged with carrier switches. Does no I/O.
 
+use crate::call::Tag;
 use crate::interface::{EndReason, LoadReport};
 use crate::settings::set_report_value;
 use serde::{Deserialize, Serialize};
@@ -17,13 +18,13 @@
 pub struct Message {
     /// Message type, such as `START`.
     pub verb: String,
-    /// Call reference, the identifier of the call on the wire, as 16 hexadecimal digits.
+    /// The tag of the call or the probe, as 16 hexadecimal digits.
     #[serde(default)]
     pub tag: String,
     /// Fields that depend on the message type.
     #[serde(default, rename = "opts")]
     pub fields: BTreeMap<String, Value>,
-    /// Q.850 cause of a release; in `ECHO`, 0; in `ECHOED`, 1 if the probe succeeded.
+    /// Q.850 cause of a release; in `ECHO`, 0; in `ECHOED`, 1 if the probe passed.
     #[serde(default, rename = "rc", skip_serializing_if = "Option::is_none")]
     pub result_code: Option<u8>,
     /// Session description.
@@ -32,19 +33,19 @@
 }
 
 impl Message {
-    /// Creates a message that carries nothing but its type and its call reference.
-    pub fn new(verb: &str, call_reference: u64) -> Self {
+    /// Creates a message that carries nothing but its type and its tag.
+    pub fn new(verb: &str, tag: Tag) -> Self {
         Message {
             verb: verb.to_string(),
-            tag: format!("{call_reference:016x}"),
+            tag: format!("{tag:016x}"),
             fields: BTreeMap::new(),
             result_code: None,
             session_description: None,
         }
     }
 
-    /// Parses the call reference; `None` unless it is exactly 16 hexadecimal digits.
-    pub fn call_reference(&self) -> Option<u64> {
+    /// Parses the tag; `None` unless it is exactly 16 hexadecimal digits.
+    pub fn parse_tag(&self) -> Option<Tag> {
         // from_str_radix alone would accept a leading plus sign.
         let is_valid = self.tag.len() == 16 && self.tag.bytes().all(|b| b.is_ascii_hexdigit());
         if is_valid { u64::from_str_radix(&self.tag, 16).ok() } else { None }
--- a/src/net/lines/tests.rs
+++ b/src/net/lines/tests.rs
@@ -10,7 +10,7 @@
         assert_eq!(decode(&text.as_bytes()[..length]), Ok(None));
     }
     let (message, size) = decode(text.as_bytes()).unwrap().unwrap();
-    assert_eq!(message.call_reference(), Some(0x9b1f_03aa_5c7e_2d41));
+    assert_eq!(message.parse_tag(), Some(0x9b1f_03aa_5c7e_2d41));
     assert_eq!((message.result_code, size), (Some(34), end));
     assert_eq!(message.field_text("waited").as_deref(), Some("12"));
 }
@@ -40,7 +40,7 @@
     let unterminated = vec![b' '; MAX_MESSAGE_BYTES];
     assert!(decode(&unterminated).is_err() && decode(&unterminated[1..]) == Ok(None));
     for tag in ["", "9b1f", "+b1f03aa5c7e2d41", "9b1f03aa5c7e2d411"] {
-        assert_eq!(Message { tag: tag.into(), ..Message::new("START", 1) }.call_reference(), None);
+        assert_eq!(Message { tag: tag.into(), ..Message::new("START", 1) }.parse_tag(), None);
     }
 }
 
@@ -66,7 +66,7 @@
     crate::net::tests::for_each_mutation(&encoded, |bytes| match decode(bytes) {
         Ok(Some((message, size))) => {
             assert!(size <= bytes.len());
-            let _ = (message.call_reference(), message.release_reason(), message.load_report());
+            let _ = (message.parse_tag(), message.release_reason(), message.load_report());
             decoded += 1;
         }
         Ok(None) => {}
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -43,7 +43,7 @@
     /// Registers a socket with the event loop. The callback runs when there is something to read or room to
     /// write.
     pub fn new(
-        handle: &LoopHandle<'static, Gatekeeper>, stream: TcpStream, max_unsent_bytes: usize,
+        loop_handle: &LoopHandle<'static, Gatekeeper>, stream: TcpStream, max_unsent_bytes: usize,
         callback: impl Fn(&mut Gatekeeper) + 'static,
     ) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
@@ -52,7 +52,7 @@
         // Edge-triggered, so that the registered interests never have to change and a peer that has finished
         // sending causes a single wake-up.
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
-        let registration = handle
+        let registration = loop_handle
             .insert_source(source, move |_, _, gatekeeper| {
                 callback(gatekeeper);
                 Ok(PostAction::Continue)
@@ -63,7 +63,7 @@
 
     /// Starts to connect without blocking; [`Connection::check_connected`] gives the result.
     pub fn connect(
-        handle: &LoopHandle<'static, Gatekeeper>, address: SocketAddr, max_unsent_bytes: usize,
+        loop_handle: &LoopHandle<'static, Gatekeeper>, address: SocketAddr, max_unsent_bytes: usize,
         callback: impl Fn(&mut Gatekeeper) + 'static,
     ) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
@@ -72,7 +72,7 @@
             Err(error) if !is_in_progress(&error) => return Err(error),
             _ => {}
         }
-        Connection::new(handle, socket.into(), max_unsent_bytes, callback)
+        Connection::new(loop_handle, socket.into(), max_unsent_bytes, callback)
     }
 
     /// Returns true once the connection is established, and false while it is being established.
@@ -172,8 +172,8 @@
     }
 
     /// Removes the connection from the event loop and closes its socket. Unsent output is discarded.
-    pub fn close(self, handle: &LoopHandle<'static, Gatekeeper>) {
-        handle.remove(self.registration);
+    pub fn close(self, loop_handle: &LoopHandle<'static, Gatekeeper>) {
+        loop_handle.remove(self.registration);
     }
 }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -28,22 +28,22 @@
 
 /// Shortest time that the program keeps running after SIGTERM, since callers go on sending set-ups.
 const MIN_SHUTDOWN_TIME: Micros = 800_000;
-/// Time after SIGTERM at which calls without an answer are rejected, so that their callers are told before
-/// the program would be killed.
+/// Time after SIGTERM at which unanswered calls are rejected, so that their callers are told before the
+/// program would be killed.
 const SHUTDOWN_REJECT_AFTER: Micros = 3_300_000;
 /// Time after SIGTERM at which the program exits in any case: 100 ms are left to send the rejections.
 const MAX_SHUTDOWN_TIME: Micros = SHUTDOWN_REJECT_AFTER + 100_000;
-/// Over sockets, each time limit of the deployment is longer by this margin. The release wait that the module
-/// is given includes it.
+/// Over sockets, each time limit of the deployment is longer by this margin. The release wait that the
+/// controller is given includes it.
 const SOCKET_TIME_MARGIN: Micros = 50_000;
 /// Interval of the event loop's timer while the timer queue is empty.
 const IDLE_TIMER_INTERVAL: Duration = Duration::from_secs(3600);
-/// Time-out of a connection attempt to a switch, unless the settings give one.
+/// Time-out of an attempt to connect to a switch, unless the settings give one.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 500_000;
-/// Longest time for which a caller may say that it waits, where the settings give no deadline for any class.
+/// Longest `caller_timeout` that a set-up may state, where the settings give no deadline for any class.
 const DEFAULT_MAX_CALLER_TIMEOUT: Micros = 60_000_000;
 /// Idle time after which a switch closes its connection, unless the settings give one.
-const DEFAULT_KEEPALIVE_TIMEOUT: Micros = 600_000_000;
+const DEFAULT_SWITCH_IDLE_TIMEOUT: Micros = 600_000_000;
 
 /// Writes a line to the log, which is standard error. A failure to write is ignored, so that calls are served
 /// even without a log.
@@ -84,7 +84,7 @@
     max_unsent_bytes_per_caller: usize,
     /// Unsent bytes per switch, and the size of a line of the control feed.
     max_peer_buffer_bytes: usize,
-    /// Calls, answered or not. Each takes about a kilobyte in call control and the module.
+    /// Calls, answered or not. Each takes about a kilobyte in call control and the controller.
     max_calls: usize,
     /// Total bytes of the session descriptions that unanswered calls hold.
     max_description_bytes: usize,
@@ -119,7 +119,7 @@
     settings: Settings,
     names: IndexedNames,
     connect_timeout: Micros,
-    keepalive_timeout: Micros,
+    switch_idle_timeout: Micros,
     call_limits: CallLimits,
 }
 
@@ -171,11 +171,15 @@
                 max_calls: settings::count_or(&pairs, "limits.openCap", usize::MAX)
                     .min(resource_limits.max_calls),
                 max_description_bytes: resource_limits.max_description_bytes,
-                max_caller_timeout: settings::max_caller_wait(&pairs, DEFAULT_MAX_CALLER_TIMEOUT),
+                max_caller_timeout: settings::max_caller_timeout(&pairs, DEFAULT_MAX_CALLER_TIMEOUT),
                 circuits_by_class: settings::circuits_by_class(&pairs),
             },
             resource_limits,
-            keepalive_timeout: settings::duration_or(&pairs, "limits.keepaliveS", DEFAULT_KEEPALIVE_TIMEOUT),
+            switch_idle_timeout: settings::duration_or(
+                &pairs,
+                "limits.keepaliveS",
+                DEFAULT_SWITCH_IDLE_TIMEOUT,
+            ),
             settings,
             names,
         })
@@ -216,17 +220,18 @@
     config_path: PathBuf,
 }
 
-/// Runs a gatekeeper until it is told to shut down and has answered the calls that it has taken.
+/// Runs a gatekeeper until it is told to shut down and has answered or rejected the calls that it has
+/// taken.
 ///
 /// # Errors
 /// Why it could not start, or a failure of the event loop.
 pub fn serve(config: Config) -> Result<(), String> {
     let mut event_loop: EventLoop<'static, Gatekeeper> =
         EventLoop::try_new().map_err(|error| format!("event loop: {error}"))?;
-    let handle = event_loop.handle();
+    let loop_handle = event_loop.handle();
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])
         .map_err(|error| format!("signals: {error}"))?;
-    handle
+    loop_handle
         .insert_source(signals, |event, _, gatekeeper: &mut Gatekeeper| match event.signal() {
             Signal::SIGHUP => gatekeeper.reload_config(),
             _ => gatekeeper.start_shutdown(),
@@ -238,14 +243,15 @@
         gatekeeper.timer_deadline = None;
         TimeoutAction::ToDuration(IDLE_TIMER_INTERVAL)
     });
-    let timer_token = handle.register_dispatcher(timer.clone()).map_err(|error| format!("timer: {error}"))?;
+    let timer_token =
+        loop_handle.register_dispatcher(timer.clone()).map_err(|error| format!("timer: {error}"))?;
 
     let mut clock = Clock::start();
     let now = clock.now();
     let own_exchange = config.settings.own_exchange;
     let limits = config.resource_limits;
     let callers = Callers::listen(
-        handle.clone(),
+        loop_handle.clone(),
         config.listen_address,
         limits.max_caller_connections,
         limits.max_unsent_bytes_per_caller,
@@ -256,13 +262,13 @@
         call_control: CallControl::new(config.settings, config.names, config.call_limits, config.seed, now),
         callers,
         switches: Switches::new(
-            handle.clone(),
+            loop_handle.clone(),
             config.connect_timeout,
-            config.keepalive_timeout,
+            config.switch_idle_timeout,
             own_exchange,
             limits.max_peer_buffer_bytes,
         ),
-        feed: ControlFeed::new(handle.clone(), config.feed_address, limits.max_peer_buffer_bytes),
+        feed: ControlFeed::new(loop_handle.clone(), config.feed_address, limits.max_peer_buffer_bytes),
         pending_reads: vec![],
         timer_deadline: None,
         ready: false,
@@ -283,7 +289,7 @@
                 |deadline| gatekeeper.clock.to_instant(deadline),
             );
             timer.as_source_mut().set_deadline(instant);
-            handle.update(&timer_token).map_err(|error| format!("timer: {error}"))?;
+            loop_handle.update(&timer_token).map_err(|error| format!("timer: {error}"))?;
         }
         let max_wait = if gatekeeper.pending_reads.is_empty() { None } else { Some(Duration::ZERO) };
         event_loop.dispatch(max_wait, &mut gatekeeper).map_err(|error| format!("event loop: {error}"))?;
@@ -294,8 +300,9 @@
 }
 
 impl Gatekeeper {
-    /// Completes an iteration of the event loop: handles the timers that are due, runs a batch of the module,
-    /// executes the resulting commands and sends the output. Returns true if the program is to exit.
+    /// Completes an iteration of the event loop: handles the timers that are due, passes the events to the
+    /// controller if a batch is due, executes the resulting commands and sends the output. Returns true if
+    /// the program is to exit.
     fn complete_iteration(&mut self) -> bool {
         let now = self.clock.now();
         while let Some(event) = self.call_control.timers.pop_due(now) {
@@ -305,7 +312,7 @@
                 TimerEvent::CallerMaintenance => self.run_caller_maintenance(),
                 TimerEvent::Shutdown => {
                     if self.shutdown_started_at.is_some_and(|start| now >= start + SHUTDOWN_REJECT_AFTER) {
-                        self.call_control.fail_unanswered_calls(now);
+                        self.call_control.reject_unanswered_calls(now);
                     }
                 }
                 other => self.call_control.handle_timer(now, other),
@@ -334,7 +341,7 @@
     fn resume_reads(&mut self) {
         for pending_read in std::mem::take(&mut self.pending_reads) {
             match pending_read {
-                PendingRead::Caller(connection) => self.handle_caller_io(connection),
+                PendingRead::Caller(connection) => self.handle_caller_readiness(connection),
                 PendingRead::Switch(switch) => self.handle_switch_readiness(switch),
                 PendingRead::Feed => self.handle_feed_readiness(),
             }
@@ -347,15 +354,16 @@
         while !self.call_control.commands.is_empty() {
             for command in std::mem::take(&mut self.call_control.commands) {
                 match command {
-                    Command::SetUp { switch, tag, class, called_number, deadline, description } => {
-                        let message = switches::set_up_message(tag, class, called_number, description);
+                    Command::SetUp { switch, tag, class, called_number, deadline, session_description } => {
+                        let message =
+                            switches::set_up_message(tag, class, called_number, session_description);
                         self.send_set_up(switch, tag, message, deadline);
                     }
                     Command::ReleaseAtSwitch { switch, tag } => self.switches.release(switch, tag),
                     Command::ReleaseAtAllSwitches(tag) => self.switches.release_at_all(tag),
                     Command::Probe { switch, tag } => self.switches.probe(switch, tag),
-                    Command::Answer { connection, tag, description } => {
-                        self.callers.answer(now, connection, tag, description);
+                    Command::Answer { connection, tag, session_description } => {
+                        self.callers.answer(now, connection, tag, session_description);
                     }
                     Command::Reject { connection, tag, cause, back_off } => {
                         self.callers.reject(connection, tag, cause, back_off);
@@ -372,16 +380,15 @@
     /// Sends the output of all connections and closes those that have failed or ended.
     fn flush_connections(&mut self) {
         let call_control = &self.call_control;
-        for connection in
-            self.callers.flush(|connection| call_control.unanswered_set_up(connection).is_some())
+        for connection in self.callers.flush(|connection| call_control.unanswered_call(connection).is_some())
         {
-            self.close_caller(connection);
+            self.close_caller_connection(connection);
         }
         for switch in self.switches.flush() {
             self.close_switch_connection(switch);
         }
         if !self.feed.flush() {
-            self.close_feed("connection failed", 0);
+            self.close_feed_connection("connection failed", 0);
         }
     }
 
--- a/src/net/switches.rs
+++ b/src/net/switches.rs
@@ -125,7 +125,7 @@
     unreachable_since: Option<Micros>,
     /// Messages received on this connection are handled like those on the open one.
     candidate: Option<CandidateConnection>,
-    /// The predecessor of the open connection, kept as long as answers may arrive on it.
+    /// The predecessor of the open connection.
     replaced: Option<ReplacedConnection>,
     /// The switch has sent a message, normally the load report for its group of circuits, or it could not be
     /// reached or was silent: the gatekeeper need not wait for it any longer before it is ready.
@@ -140,7 +140,7 @@
 
 /// All carrier switches.
 pub struct Switches {
-    handle: LoopHandle<'static, Gatekeeper>,
+    loop_handle: LoopHandle<'static, Gatekeeper>,
     connect_timeout: Micros,
     /// How long a connection may be idle before its switch closes it.
     idle_timeout: Micros,
@@ -157,13 +157,13 @@
 }
 
 impl Switches {
-    /// Creates an empty list of switches.
+    /// Creates the state of the program's start, without any switch.
     pub fn new(
-        handle: LoopHandle<'static, Gatekeeper>, connect_timeout: Micros, idle_timeout: Micros,
+        loop_handle: LoopHandle<'static, Gatekeeper>, connect_timeout: Micros, idle_timeout: Micros,
         own_exchange: ExchangeNumber, max_unsent_bytes: usize,
     ) -> Self {
         Switches {
-            handle,
+            loop_handle,
             connect_timeout,
             idle_timeout,
             own_exchange,
@@ -258,7 +258,7 @@
 }
 
 impl Gatekeeper {
-    /// Takes the description of a switch from the control feed.
+    /// Takes an entry of the switch list from the control feed.
     pub(super) fn update_switch(&mut self, listed: ListedSwitch) {
         let now = self.clock.now();
         let Some(id) = self.switches.get_or_assign_id(&listed.name, listed.health) else { return };
@@ -373,7 +373,7 @@
                 log(&format!("set-up {tag:016x} is not sent: it exceeds the size limit of a message"));
                 let release = Release {
                     cause: cause::RESOURCE_UNAVAILABLE,
-                    note: EndReason::Unknown,
+                    reason: EndReason::Unknown,
                     report: LoadReport::default(),
                 };
                 self.call_control.handle_switch_release(now, id, tag, release);
@@ -392,7 +392,7 @@
         let ConnectionState::Closed { .. } = switch.state else { return };
         let Some(address) = switch.listed.address else { return };
         let max_unsent_bytes = self.switches.max_unsent_bytes;
-        match Connection::connect(&self.switches.handle, address, max_unsent_bytes, move |gatekeeper| {
+        match Connection::connect(&self.switches.loop_handle, address, max_unsent_bytes, move |gatekeeper| {
             gatekeeper.handle_switch_readiness(id);
         }) {
             Ok(connection) => {
@@ -467,7 +467,7 @@
         let Some(address) = switch.listed.address else { return };
         let deadline = now + self.switches.connect_timeout;
         let max_unsent_bytes = self.switches.max_unsent_bytes;
-        match Connection::connect(&self.switches.handle, address, max_unsent_bytes, move |gatekeeper| {
+        match Connection::connect(&self.switches.loop_handle, address, max_unsent_bytes, move |gatekeeper| {
             gatekeeper.handle_switch_readiness(id);
         }) {
             Ok(connection) => {
@@ -525,7 +525,7 @@
     fn close_replaced_connection(&mut self, id: SwitchId) {
         let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
         if let Some(replaced) = switch.replaced.take() {
-            replaced.connection.close(&self.switches.handle);
+            replaced.connection.close(&self.switches.loop_handle);
             self.call_control.handle_connection_lost(id, replaced.replaced_at);
         }
     }
@@ -534,7 +534,7 @@
     fn close_candidate_connection(&mut self, id: SwitchId) {
         let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
         if let Some(candidate) = switch.candidate.take() {
-            candidate.connection.close(&self.switches.handle);
+            candidate.connection.close(&self.switches.loop_handle);
         }
     }
 
@@ -603,10 +603,10 @@
         let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
         match std::mem::replace(&mut switch.state, ConnectionState::Closed { reconnect_at }) {
             ConnectionState::Open(open) => {
-                open.connection.close(&self.switches.handle);
+                open.connection.close(&self.switches.loop_handle);
                 self.call_control.handle_connection_lost(id, sent_until);
             }
-            ConnectionState::Connecting { connection, .. } => connection.close(&self.switches.handle),
+            ConnectionState::Connecting { connection, .. } => connection.close(&self.switches.loop_handle),
             ConnectionState::Closed { .. } => {}
         }
         self.close_candidate_connection(id);
@@ -706,17 +706,17 @@
             self.call_control.handle_load_report(id, message.load_report());
             return Ok(());
         }
-        let tag = message.call_reference().ok_or("a message without a valid tag")?;
+        let tag = message.parse_tag().ok_or("a message without a valid tag")?;
         if let Some(ConnectionState::Open(open)) = self.switches.by_id.get_mut(&id).map(|s| &mut s.state) {
             open.last_used_at = now;
         }
         match message.verb.as_str() {
             "STARTED" => self.call_control.handle_answer(now, id, tag, message.session_description),
             "FINISH" => {
-                let note = message.release_reason();
+                let reason = message.release_reason();
                 let report = message.load_report();
                 let cause = message.result_code.ok_or("a release without a cause")?;
-                self.call_control.handle_switch_release(now, id, tag, Release { cause, note, report });
+                self.call_control.handle_switch_release(now, id, tag, Release { cause, reason, report });
                 self.switches.write_message(id, &Message::new("FINISHED", tag));
             }
             "ECHOED" => {
@@ -762,9 +762,9 @@
 
 /// Creates a set-up, without the time left, which is added when it is sent.
 pub fn set_up_message(
-    tag: Tag, class: String, called_number: String, description: Option<String>,
+    tag: Tag, class: String, called_number: String, session_description: Option<String>,
 ) -> Message {
-    let mut message = Message { session_description: description, ..Message::new("START", tag) };
+    let mut message = Message { session_description, ..Message::new("START", tag) };
     message.fields.insert("class".into(), class.into());
     message.fields.insert("key".into(), called_number.into());
     message
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -247,9 +247,9 @@
     Ok((settings, names))
 }
 
-/// Longest time that a set-up may state as its caller's wait: the longest `deadlineS` of any class plus half
-/// of it as a margin, or `default` where no class has one. An invalid `deadlineS` counts as `default`.
-pub fn max_caller_wait(pairs: &FlatSettings, default: Micros) -> Micros {
+/// Longest `caller_timeout` that a set-up may state: the longest `deadlineS` of any class plus half of it as
+/// a margin, or `default` where no class has one. An invalid `deadlineS` counts as `default`.
+pub fn max_caller_timeout(pairs: &FlatSettings, default: Micros) -> Micros {
     let deadlines = pairs.keys().filter(|key| key.starts_with("services.") && key.ends_with(".deadlineS"));
     let longest_deadline = deadlines.map(|key| duration_or(pairs, key, default)).max();
     longest_deadline.map_or(default, |longest| longest / 2 * 3)
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -32,13 +32,13 @@
 #[test]
 fn limits_of_a_set_up_come_from_the_settings_or_the_default() {
     let mut pairs = FlatSettings::new();
-    assert_eq!((max_caller_wait(&pairs, 7), circuits_by_class(&pairs)), (7, vec![]));
+    assert_eq!((max_caller_timeout(&pairs, 7), circuits_by_class(&pairs)), (7, vec![]));
     for (key, value) in
         [("services.0.deadlineS", "2"), ("services.1.deadlineS", "3"), ("familyInfo.circuitsByClass", "1,2")]
     {
         pairs.insert(key.into(), value.into());
     }
-    assert_eq!((max_caller_wait(&pairs, 7), circuits_by_class(&pairs)), (4_500_000, vec![1.0, 2.0]));
+    assert_eq!((max_caller_timeout(&pairs, 7), circuits_by_class(&pairs)), (4_500_000, vec![1.0, 2.0]));
 }
 
 #[test]
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -115,10 +115,10 @@
     names: IndexedNames,
 }
 
-/// A line of a list of exchanges. The zone is kept by name: its index depends on the settings of the instance
-/// that the list is given to.
+/// A row of a switch list. The zone is kept by name: its index depends on the settings of the instance that
+/// the list is given to.
 struct ListRow {
-    listed: SwitchEntry,
+    entry: SwitchEntry,
     zone_name: String,
 }
 
@@ -129,7 +129,7 @@
 /// batch is written.
 pub fn run_adapter(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut instances: BTreeMap<u64, Instance> = BTreeMap::new();
-    let mut exchange_lists: BTreeMap<u64, Vec<ListRow>> = BTreeMap::new();
+    let mut switch_lists: BTreeMap<u64, Vec<ListRow>> = BTreeMap::new();
     let mut line_number = 0;
     let mut line = String::new();
     let mut reply = String::new();
@@ -167,7 +167,7 @@
                         }
                         rows.push(parse_row(&mut Message::new(line_number, &line))?);
                     }
-                    exchange_lists.insert(list_ref, rows);
+                    switch_lists.insert(list_ref, rows);
                 }
                 "CREATE" => {
                     let instance_id: u64 = message.parse("who")?;
@@ -203,7 +203,7 @@
                     let Some(instance) = instances.get_mut(&instance_id) else {
                         return message.error("who", "no such instance");
                     };
-                    let event = parse_event(&mut message, &instance.names, &exchange_lists)?;
+                    let event = parse_event(&mut message, &instance.names, &switch_lists)?;
                     actions.clear();
                     instance.controller.handle(now, event, &mut actions);
                     write_actions(&mut reply, instance_id, &actions);
@@ -247,9 +247,9 @@
         _ => return message.error("health", "unknown value"),
     };
     message.parse_optional::<f64>("capacityHint")?;
-    let started_s: Option<f64> = message.parse_optional("cameUpS")?;
-    let up_since = started_s.filter(|seconds| *seconds > 0.0).map(seconds_to_micros);
-    Ok(ListRow { listed: SwitchEntry { switch, zone: 0, exchange_number, health, up_since }, zone_name })
+    let up_since_s: Option<f64> = message.parse_optional("cameUpS")?;
+    let up_since = up_since_s.filter(|seconds| *seconds > 0.0).map(seconds_to_micros);
+    Ok(ListRow { entry: SwitchEntry { switch, zone_index: 0, exchange_number, health, up_since }, zone_name })
 }
 
 /// Index of the field's name in a list from the settings; `-`, `0` and an empty field are `None`.
@@ -264,7 +264,7 @@
 }
 
 fn parse_event(
-    message: &mut Message, names: &IndexedNames, exchange_lists: &BTreeMap<u64, Vec<ListRow>>,
+    message: &mut Message, names: &IndexedNames, switch_lists: &BTreeMap<u64, Vec<ListRow>>,
 ) -> AdapterResult<Event> {
     Ok(match message.name {
         "TOPOLOGY" => {
@@ -274,15 +274,15 @@
                 return Ok(Event::SwitchList(SwitchListUpdate::Failed));
             }
             let list_ref: u64 = message.parse("ref")?;
-            let Some(rows) = exchange_lists.get(&list_ref) else {
+            let Some(rows) = switch_lists.get(&list_ref) else {
                 return message.error("ref", "no such LEDGER");
             };
             let mut entries = Vec::with_capacity(rows.len());
             for row in rows {
                 // All zones that the settings do not name share the index after the last named one.
                 let position = names.zones.iter().position(|zone| *zone == row.zone_name);
-                let zone = position.unwrap_or(names.zones.len()) as u32;
-                entries.push(SwitchEntry { zone, ..row.listed.clone() });
+                let zone_index = position.unwrap_or(names.zones.len()) as u32;
+                entries.push(SwitchEntry { zone_index, ..row.entry.clone() });
             }
             match how {
                 "F" | "C" => Event::SwitchList(SwitchListUpdate::Full(entries)),
@@ -292,12 +292,12 @@
         }
         "ORDER" => {
             let id = CallId(message.parse("rid")?);
-            let Some(class) = parse_name(message, "tierClass", &names.classes)? else {
+            let Some(class_index) = parse_name(message, "tierClass", &names.classes)? else {
                 return message.error("tierClass", "missing");
             };
-            let tenant = parse_name(message, "tenant", &names.tenants)?;
+            let tenant_index = parse_name(message, "tenant", &names.tenants)?;
             let called_number = message.text("object")?.to_string();
-            let deadline = message.seconds("giveUpAtS")?;
+            let caller_deadline = message.seconds("giveUpAtS")?;
             message.parse_optional::<f64>("sizeHintS")?;
             let destination = message.parse::<f64>("farEnd")? as i64;
             let circuits: f64 = message.parse("units")?;
@@ -308,10 +308,10 @@
             message.boolean("cameBack")?;
             Event::NewCall(NewCall {
                 id,
-                class,
-                tenant,
+                class_index,
+                tenant_index,
                 called_number,
-                deadline,
+                caller_deadline,
                 destination,
                 circuits,
                 via_exchange,
@@ -323,7 +323,7 @@
             let call = CallId(message.parse("rid")?);
             let attempt = message.parse("sendNo")?;
             message.parse::<u64>("exchange")?;
-            Event::Established { call, attempt, set_up_time: message.seconds("waitTimeS")? }
+            Event::Established { call, attempt, set_up_delay: message.seconds("waitTimeS")? }
         }
         "COMPLETED" => {
             let call = CallId(message.parse("rid")?);
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -16,7 +16,7 @@
     format!("CREATE\t{instance_id}\t{}\t{pairs}\n", 7)
 }
 
-/// A batch that creates an instance and gives it the list of exchanges.
+/// A batch that creates an instance and gives it the switch list.
 fn start_batch(instance_id: u32) -> String {
     format!(
         "MARK\t10\n{}{}COMMIT\n",
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -126,7 +126,7 @@
 
 /// A line of the list.
 pub fn listed(exchange: u64, number: i64, health: Health, up_since: Option<Micros>) -> SwitchEntry {
-    SwitchEntry { switch: SwitchId(exchange), zone: 0, exchange_number: number, health, up_since }
+    SwitchEntry { switch: SwitchId(exchange), zone_index: 0, exchange_number: number, health, up_since }
 }
 
 #[allow(dead_code)]
@@ -214,10 +214,10 @@
         self.give_up.push((id, give_up_at));
         self.event(Event::NewCall(NewCall {
             id: CallId(id),
-            class: 0,
-            tenant: None,
+            class_index: 0,
+            tenant_index: None,
             called_number: called.into(),
-            deadline: give_up_at,
+            caller_deadline: give_up_at,
             destination: to,
             circuits: 1.0,
             via_exchange: if transit { 2 } else { -1 },
@@ -257,7 +257,7 @@
 
     pub fn stands(&mut self, id: u64, attempt: u32, took: Micros) {
         self.out.retain(|o| o.0 != id);
-        self.event(Event::Established { call: CallId(id), attempt, set_up_time: took });
+        self.event(Event::Established { call: CallId(id), attempt, set_up_delay: took });
     }
 
     pub fn stands_if_out(&mut self, id: u64, took: Micros) {
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -357,7 +357,7 @@
 fn late_repeated_and_unknown_events_change_nothing() {
     let mut rig = Rig::new(|_| {});
     let report = LoadReport { free_circuits: Some(f64::NAN), wait_us: Some(-5.0), ..LoadReport::default() };
-    rig.event(Event::Established { call: CallId(77), attempt: 3, set_up_time: ms(5) });
+    rig.event(Event::Established { call: CallId(77), attempt: 3, set_up_delay: ms(5) });
     rig.ended(77, 0, 101, Outcome::TimedOut, EndReason::Unknown, false);
     rig.ended(77, 9, 999, Outcome::Completed, EndReason::Unknown, true);
     rig.event(Event::CallerGone(CallId(77)));
@@ -547,7 +547,7 @@
     // Unknown calls, exchanges, timers, and peer messages of any bytes.
     let before = (rig.sends.len(), rig.answers.len());
     rig.event(Event::CallerGone(CallId(77)));
-    rig.event(Event::Established { call: CallId(77), attempt: 3, set_up_time: -5 });
+    rig.event(Event::Established { call: CallId(77), attempt: 3, set_up_delay: -5 });
     rig.ended(77, 9, 55_555, Outcome::Reset, EndReason::RejectedByTandem, true);
     rig.event(Event::Timer(u64::MAX));
     for data in [vec![], vec![0xff; 256], vec![7; 10_000]] {
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -147,10 +147,10 @@
             self.calls.insert(round, watched);
             let new = NewCall {
                 id: CallId(round),
-                class: 0,
-                tenant: None,
+                class_index: 0,
+                tenant_index: None,
                 called_number: format!("n{}", self.rng.next_u32() % 9),
-                deadline: give_up_at,
+                caller_deadline: give_up_at,
                 destination: to,
                 circuits: 1.0,
                 via_exchange: -1,
@@ -170,7 +170,7 @@
                         let (attempt, _, until) = c.out.unwrap();
                         c.out = Some((attempt, c.out.unwrap().1, until + sec(20)));
                         let took = ms(40 + self.below(900) as i64);
-                        self.event(Event::Established { call: CallId(id), attempt, set_up_time: took });
+                        self.event(Event::Established { call: CallId(id), attempt, set_up_delay: took });
                     }
                 }
                 4 => self.end(id, Outcome::Congested, EndReason::RejectedByTandem),
