--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,7 +1,7 @@
 //! The adapter on hand-written input: replies, separation of instances, and errors on malformed input.
 
 mod common;
-use common::{CREATE, TOPOLOGY};
+use common::{CREATE_SETTINGS, SWITCH_LIST_LINES};
 use wheatpier::wire::run_adapter;
 
 /// The replies to `input`, and the text of the error if there was one.
@@ -12,7 +12,7 @@
 }
 
 fn create_line(instance_id: u32) -> String {
-    let pairs = CREATE.trim().lines().collect::<Vec<_>>().join("\t");
+    let pairs = CREATE_SETTINGS.trim().lines().collect::<Vec<_>>().join("\t");
     format!("CREATE\t{instance_id}\t{}\t{pairs}\n", 7)
 }
 
@@ -21,7 +21,7 @@
     format!(
         "MARK\t10\n{}{}COMMIT\n",
         create_line(instance_id),
-        TOPOLOGY.replace('@', &instance_id.to_string())
+        SWITCH_LIST_LINES.replace('@', &instance_id.to_string())
     )
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,9 @@
-//! Settings of a small mesh, made up for the tests: three exchanges with numbers 0 (here), 1 and 2.
+//! Shared by the tests: the settings of a small mesh of three exchanges, with the numbers 0 (the own
+//! exchange), 1 and 2, and a harness that drives a controller.
 
-/// A `CREATE` line's settings, a pair a line.
+/// The settings of a `CREATE` line of the adapter, one pair per line.
 #[allow(dead_code)]
-pub const CREATE: &str = "familyInfo.here=0
+pub const CREATE_SETTINGS: &str = "familyInfo.here=0
 familyInfo.topology=mesh
 familyInfo.releaseS=0.2
 familyInfo.resendS=0.4
@@ -36,55 +37,83 @@
 tenants=
 ";
 
-/// The list of exchanges, for instance `@`.
+/// The adapter's lines that give a list of the exchanges to an instance; `@` stands for the instance's id.
 #[allow(dead_code)]
-pub const TOPOLOGY: &str = "LEDGER\t0\t3
+pub const SWITCH_LIST_LINES: &str = "LEDGER\t0\t3
 ROW\t100\teast\tstd\t0\tin_service\t1\t-
 ROW\t101\twest\tstd\t1\tin_service\t1\t-
 ROW\t102\twest\tstd\t2\tin_service\t1\t-
 TOPOLOGY\t@\tC\t1\t0
 ";
 
+use std::collections::BTreeMap;
+use std::ops::Range;
 use wheatpier::control::Controller;
 use wheatpier::interface::*;
 
-/// Milliseconds.
+/// A duration in milliseconds.
 #[allow(dead_code)]
-pub const fn ms(n: i64) -> Micros {
-    n * 1000
+pub const fn millis(count: i64) -> Micros {
+    count * 1000
 }
 
-/// Seconds.
+/// A duration in seconds.
 #[allow(dead_code)]
-pub const fn sec(n: i64) -> Micros {
-    n * 1_000_000
+pub const fn secs(count: i64) -> Micros {
+    count * 1_000_000
 }
 
-/// A send that the module ordered.
-#[derive(Clone, Debug)]
+/// A timer that has not expired.
+pub struct RunningTimer {
+    pub expires_at: Micros,
+    pub token: u64,
+}
+
+/// A set-up that the controller has sent.
+#[allow(dead_code)]
+pub struct SentSetUp {
+    pub call: u64,
+    pub switch: u64,
+    pub sent_at: Micros,
+}
+
+/// An attempt that has not been answered.
+#[derive(Clone, Copy)]
+#[allow(dead_code)]
+pub struct PendingAttempt {
+    pub call: u64,
+    pub attempt: u32,
+    pub switch: u64,
+    pub times_out_at: Micros,
+}
+
+/// The rejection or failure of a call.
 #[allow(dead_code)]
-pub struct Sent {
+pub struct FinalAnswer {
     pub call: u64,
-    pub exchange: u64,
-    pub at: Micros,
+    pub answered_at: Micros,
 }
 
-/// A module under test with its timers; it keeps what the module did.
+/// Drives a controller as the gatekeeper does, with a simulated clock, and records its actions.
 #[allow(dead_code)]
-pub struct Rig {
-    pub module: Controller,
+pub struct Harness {
+    pub controller: Controller,
     pub now: Micros,
-    pub timers: Vec<(Micros, u64)>,
-    pub sends: Vec<Sent>,
-    pub answers: Vec<(u64, Micros)>,
-    pub give_up: Vec<(u64, Micros)>,
-    pub out: Vec<(u64, u32, u64, Micros)>,
-    pub attempts: std::collections::BTreeMap<u64, u32>,
-    pub refused: usize,
-    pub failed: usize,
+    pub timers: Vec<RunningTimer>,
+    pub set_ups: Vec<SentSetUp>,
+    pub final_answers: Vec<FinalAnswer>,
+    /// Deadline of each call.
+    pub deadlines: BTreeMap<u64, Micros>,
+    pub pending: Vec<PendingAttempt>,
+    /// Number of attempts of each call.
+    pub attempt_counts: BTreeMap<u64, u32>,
+    pub rejected_count: usize,
+    pub failed_count: usize,
+    /// Back-off of each rejection.
     pub back_offs: Vec<Micros>,
-    pub logs: Vec<String>,
-    pub trace: Vec<Action>,
+    pub log_lines: Vec<String>,
+    /// All actions in their order.
+    pub actions: Vec<Action>,
 }
 
 /// Settings of the small mesh.
@@ -94,241 +123,280 @@
         gatekeeper_count: 3,
         pool_topology: false,
         must_subscribe: false,
-        list_known_after: sec(10),
+        list_known_after: secs(10),
         classes: vec![CallClass {
-            set_up_target: ms(1500),
+            set_up_target: millis(1500),
             value: 1.0,
             late_value_factor: 0.25,
             repeat_policy: RepeatPolicy::Idempotent,
             deduplication_scope: DeduplicationScope::AllExchanges,
-            deduplication_window: sec(5),
+            deduplication_window: secs(5),
             eligible_pools: vec![],
         }],
         tenants: vec![],
         over_quota_value_factor: 0.1,
-        release_wait: ms(200),
-        retransmit_after: ms(400),
-        min_batch_interval: ms(5),
+        release_wait: millis(200),
+        retransmit_after: millis(400),
+        min_batch_interval: millis(5),
         max_attempts: 4,
         may_cancel: true,
         may_probe: false,
         probe_cost: 0.004,
         may_send_back_off: true,
-        max_back_off: sec(2),
-        drain_grace: sec(1),
+        max_back_off: secs(2),
+        drain_grace: secs(1),
         cold_capacity_share: 0.3,
-        warm_up_time: sec(12),
+        warm_up_time: secs(12),
         cold_overload_factor: 2.0,
-        cold_overload_duration: sec(2),
+        cold_overload_duration: secs(2),
         load_reports_enabled: false,
     }
 }
 
-/// A line of the list.
-pub fn listed(exchange: u64, number: i64, health: Health, up_since: Option<Micros>) -> SwitchEntry {
-    SwitchEntry { switch: SwitchId(exchange), zone: 0, exchange_number: number, health, up_since }
+/// An entry of the switch list.
+pub fn list_entry(
+    switch: u64, exchange_number: i64, health: Health, up_since: Option<Micros>,
+) -> SwitchEntry {
+    SwitchEntry { switch: SwitchId(switch), zone: 0, exchange_number, health, up_since }
 }
 
 #[allow(dead_code)]
-impl Rig {
-    pub fn new(change: impl Fn(&mut Settings)) -> Self {
-        Self::seeded(7, change)
+impl Harness {
+    /// A controller with the settings of the small mesh as `adjust` changes them. Switches 100, 101 and 102
+    /// serve the exchanges 0, 1 and 2, and the groups to 101 and 102 have more than enough free circuits.
+    pub fn new(adjust: impl Fn(&mut Settings)) -> Self {
+        Self::with_seed(7, adjust)
     }
 
-    pub fn seeded(seed: u64, change: impl Fn(&mut Settings)) -> Self {
+    pub fn with_seed(seed: u64, adjust: impl Fn(&mut Settings)) -> Self {
         let mut settings = settings();
-        change(&mut settings);
-        let now = sec(100);
+        adjust(&mut settings);
+        let now = secs(100);
         let mut actions = Vec::new();
-        let module = Controller::new(settings, seed, now, &mut actions);
-        let mut rig = Rig {
-            module,
+        let controller = Controller::new(settings, seed, now, &mut actions);
+        let mut harness = Harness {
+            controller,
             now,
             timers: vec![],
-            sends: vec![],
-            answers: vec![],
-            give_up: vec![],
-            out: vec![],
-            attempts: Default::default(),
-            refused: 0,
-            failed: 0,
+            set_ups: vec![],
+            final_answers: vec![],
+            deadlines: BTreeMap::new(),
+            pending: vec![],
+            attempt_counts: BTreeMap::new(),
+            rejected_count: 0,
+            failed_count: 0,
             back_offs: vec![],
-            logs: vec![],
-            trace: vec![],
+            log_lines: vec![],
+            actions: vec![],
         };
-        rig.take(actions);
-        let list = (0..3).map(|n| listed(100 + n, n as i64, Health::InService, None)).collect();
-        rig.event(Event::SwitchList(SwitchListUpdate::Full(list)));
-        for n in [101, 102] {
-            rig.free(n, 10_000.0);
+        harness.record_actions(actions);
+        let list = (0..3).map(|n| list_entry(100 + n, n as i64, Health::InService, None)).collect();
+        harness.handle(Event::SwitchList(SwitchListUpdate::Full(list)));
+        for switch in [101, 102] {
+            harness.report_free_circuits(switch, 10_000.0);
         }
-        rig
+        harness
     }
 
-    fn take(&mut self, actions: Vec<Action>) {
+    fn record_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match &action {
                 Action::SendSetUp { call, switch, timeout } => {
-                    let n = self.attempts.entry(call.0).or_insert(0);
-                    self.out.push((call.0, *n, switch.0, self.now + timeout));
-                    *n += 1;
-                    self.sends.push(Sent { call: call.0, exchange: switch.0, at: self.now });
+                    let attempt_count = self.attempt_counts.entry(call.0).or_insert(0);
+                    self.pending.push(PendingAttempt {
+                        call: call.0,
+                        attempt: *attempt_count,
+                        switch: switch.0,
+                        times_out_at: self.now + timeout,
+                    });
+                    *attempt_count += 1;
+                    self.set_ups.push(SentSetUp { call: call.0, switch: switch.0, sent_at: self.now });
                 }
                 Action::Reject { call, back_off } => {
-                    self.refused += 1;
+                    self.rejected_count += 1;
                     self.back_offs.push(*back_off);
-                    self.answers.push((call.0, self.now));
+                    self.final_answers.push(FinalAnswer { call: call.0, answered_at: self.now });
                 }
                 Action::Fail(call) => {
-                    self.failed += 1;
-                    self.answers.push((call.0, self.now));
+                    self.failed_count += 1;
+                    self.final_answers.push(FinalAnswer { call: call.0, answered_at: self.now });
                 }
-                Action::SetTimer { after, token } => self.timers.push((self.now + after, *token)),
-                Action::Log(line) => self.logs.push(line.clone()),
+                Action::SetTimer { after, token } => {
+                    self.timers.push(RunningTimer { expires_at: self.now + after, token: *token });
+                }
+                Action::Log(line) => self.log_lines.push(line.clone()),
                 _ => {}
             }
-            self.trace.push(action);
+            self.actions.push(action);
         }
     }
 
-    pub fn event(&mut self, event: Event) {
+    /// Passes an event to the controller and records the actions that follow.
+    pub fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.module.handle(self.now, event, &mut actions);
-        self.take(actions);
+        self.controller.handle(self.now, event, &mut actions);
+        self.record_actions(actions);
     }
 
-    /// Lets time pass in steps of 5 ms, with the timers that come due.
-    pub fn run(&mut self, span: Micros) {
+    /// Advances the clock in steps of 5 ms and fires the timers that expire.
+    pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
-            self.now += ms(5);
+            self.now += millis(5);
             let now = self.now;
-            let due: Vec<u64> = self.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
-            self.timers.retain(|t| t.0 > now);
-            due.into_iter().for_each(|t| self.event(Event::Timer(t)));
+            let expired = self.timers.iter().filter(|timer| timer.expires_at <= now);
+            let tokens: Vec<u64> = expired.map(|timer| timer.token).collect();
+            self.timers.retain(|timer| timer.expires_at > now);
+            tokens.into_iter().for_each(|token| self.handle(Event::Timer(token)));
         }
     }
 
-    fn order(&mut self, id: u64, to: i64, called: &str, transit: bool) -> Vec<u64> {
-        let give_up_at = self.now + sec(3);
-        self.give_up.push((id, give_up_at));
-        self.event(Event::NewCall(NewCall {
+    /// Offers a call whose caller gives up after 3 s. Returns the switches that it was sent to at once.
+    fn offer_call(
+        &mut self, id: u64, destination: ExchangeNumber, called_number: &str, transit: bool,
+    ) -> Vec<u64> {
+        let deadline = self.now + secs(3);
+        self.deadlines.entry(id).or_insert(deadline);
+        self.handle(Event::NewCall(NewCall {
             id: CallId(id),
             class: 0,
             tenant: None,
-            called_number: called.into(),
-            deadline: give_up_at,
-            destination: to,
+            called_number: called_number.into(),
+            deadline,
+            destination,
             circuits: 1.0,
             via_exchange: if transit { 2 } else { -1 },
             redial: false,
             transit,
         }));
-        self.sent_of(id)
+        self.switches_tried(id)
     }
 
-    pub fn call(&mut self, id: u64, to: i64) -> Vec<u64> {
-        self.order(id, to, &format!("n{id}"), false)
+    /// Offers a call to a number that no other call of the test has.
+    pub fn new_call(&mut self, id: u64, destination: ExchangeNumber) -> Vec<u64> {
+        self.offer_call(id, destination, &format!("n{id}"), false)
     }
 
-    pub fn call_number(&mut self, id: u64, to: i64, called: &str) -> Vec<u64> {
-        self.order(id, to, called, false)
+    /// Offers a call to the given number.
+    pub fn new_call_to(&mut self, id: u64, destination: ExchangeNumber, called_number: &str) -> Vec<u64> {
+        self.offer_call(id, destination, called_number, false)
     }
 
-    pub fn transit(&mut self, id: u64, to: i64) {
-        self.order(id, to, &format!("n{id}"), true);
+    /// Offers a transit call that comes from exchange 2.
+    pub fn new_transit_call(&mut self, id: u64, destination: ExchangeNumber) {
+        self.offer_call(id, destination, &format!("n{id}"), true);
     }
 
-    pub fn free(&mut self, exchange: u64, free: f64) {
-        let report =
-            LoadReport { free_circuits: Some(free), group_size: Some(30.0), ..LoadReport::default() };
-        self.event(Event::SwitchStatus { switch: SwitchId(exchange), answered: true, round_trip: 0, report });
+    /// Reports free circuits in the group to a switch, whose size is 30.
+    pub fn report_free_circuits(&mut self, switch: u64, free_circuits: f64) {
+        let report = LoadReport {
+            free_circuits: Some(free_circuits),
+            group_size: Some(30.0),
+            ..LoadReport::default()
+        };
+        self.handle(Event::SwitchStatus { switch: SwitchId(switch), answered: true, round_trip: 0, report });
     }
 
-    pub fn change(&mut self, exchange: u64, number: i64, health: Health, up_since: Option<Micros>) {
-        self.event(Event::SwitchList(SwitchListUpdate::Changes(vec![listed(
-            exchange, number, health, up_since,
-        )])));
+    /// Changes one entry of the switch list.
+    pub fn update_switch(
+        &mut self, switch: u64, exchange_number: ExchangeNumber, health: Health, up_since: Option<Micros>,
+    ) {
+        let entry = list_entry(switch, exchange_number, health, up_since);
+        self.handle(Event::SwitchList(SwitchListUpdate::Changes(vec![entry])));
     }
 
-    pub fn is_out(&self, id: u64) -> bool {
-        self.out.iter().any(|o| o.0 == id)
+    pub fn has_pending_attempt(&self, id: u64) -> bool {
+        self.pending.iter().any(|pending| pending.call == id)
     }
 
-    pub fn stands(&mut self, id: u64, attempt: u32, took: Micros) {
-        self.out.retain(|o| o.0 != id);
-        self.event(Event::Established { call: CallId(id), attempt, set_up_time: took });
+    pub fn establish(&mut self, id: u64, attempt: u32, set_up_time: Micros) {
+        self.pending.retain(|pending| pending.call != id);
+        self.handle(Event::Established { call: CallId(id), attempt, set_up_time });
     }
 
-    pub fn stands_if_out(&mut self, id: u64, took: Micros) {
-        if let Some(o) = self.out.iter().find(|o| o.0 == id).cloned() {
-            self.stands(id, o.1, took);
+    /// Establishes a call if an attempt of it is in progress.
+    pub fn establish_if_pending(&mut self, id: u64, set_up_time: Micros) {
+        if let Some(pending) = self.pending.iter().find(|pending| pending.call == id).copied() {
+            self.establish(id, pending.attempt, set_up_time);
         }
     }
 
-    pub fn ended(
-        &mut self, id: u64, attempt: u32, exchange: u64, outcome: Outcome, cause: EndReason, closed: bool,
+    pub fn end_attempt(
+        &mut self, id: u64, attempt: u32, switch: u64, outcome: Outcome, reason: EndReason, call_closed: bool,
     ) {
-        self.out.retain(|o| o.0 != id);
-        let (call, switch, report) = (CallId(id), SwitchId(exchange), LoadReport::default());
-        self.event(Event::AttemptEnded(AttemptEnd {
-            call,
+        self.pending.retain(|pending| pending.call != id);
+        self.handle(Event::AttemptEnded(AttemptEnd {
+            call: CallId(id),
             attempt,
-            switch,
+            switch: SwitchId(switch),
             outcome,
-            reason: cause,
-            call_closed: closed,
-            report,
+            reason,
+            call_closed,
+            report: LoadReport::default(),
         }));
     }
 
-    /// Ends as timed out what has been out to this exchange past its time-out.
-    pub fn time_out(&mut self, exchange: u64) {
+    /// Ends the attempts to a switch whose time-out has passed.
+    pub fn time_out_attempts(&mut self, switch: u64) {
         let now = self.now;
-        let due: Vec<_> = self.out.iter().filter(|o| o.2 == exchange && o.3 <= now).cloned().collect();
-        for (id, attempt, exchange, _) in due {
-            self.ended(id, attempt, exchange, Outcome::TimedOut, EndReason::Unknown, false);
+        let is_due = |pending: &&PendingAttempt| pending.switch == switch && pending.times_out_at <= now;
+        let due: Vec<PendingAttempt> = self.pending.iter().filter(is_due).copied().collect();
+        for PendingAttempt { call, attempt, switch, .. } in due {
+            self.end_attempt(call, attempt, switch, Outcome::TimedOut, EndReason::Unknown, false);
         }
     }
 
-    /// Offers calls until one is sent, and returns it.
-    pub fn trial(&mut self, exchange: u64, to: i64, from: u64) -> u64 {
-        for id in from..from + 200 {
-            if !self.call(id, to).is_empty() {
+    /// Offers calls, with ids from `first_id`, until one is sent, and returns its id.
+    pub fn offer_until_sent(&mut self, switch: u64, destination: ExchangeNumber, first_id: u64) -> u64 {
+        for id in first_id..first_id + 200 {
+            if !self.new_call(id, destination).is_empty() {
                 return id;
             }
-            self.run(ms(50));
-            self.time_out(exchange);
+            self.advance(millis(50));
+            self.time_out_attempts(switch);
         }
-        panic!("no trial");
+        panic!("none of 200 calls to exchange {destination} was sent");
     }
 
-    /// Calls to 1 and 2 in turn, each standing after `took`.
-    pub fn steady(&mut self, ids: std::ops::Range<u64>, took: Micros, gap: Micros) {
+    /// Offers calls to the exchanges 1 and 2 in turn. Each that is sent is established after `set_up_time`.
+    pub fn run_steady_traffic(&mut self, ids: Range<u64>, set_up_time: Micros, interval: Micros) {
         for id in ids {
-            self.call(id, 1 + (id % 2) as i64);
-            self.stands_if_out(id, took);
-            self.run(gap);
+            self.new_call(id, 1 + (id % 2) as i64);
+            self.establish_if_pending(id, set_up_time);
+            self.advance(interval);
         }
     }
 
-    pub fn sent_of(&self, id: u64) -> Vec<u64> {
-        self.sends.iter().filter(|s| s.call == id).map(|s| s.exchange).collect()
+    /// The switches that set-ups of a call were sent to, in order.
+    pub fn switches_tried(&self, id: u64) -> Vec<u64> {
+        self.set_ups_of(id).map(|set_up| set_up.switch).collect()
+    }
+
+    pub fn set_ups_of(&self, id: u64) -> impl Iterator<Item = &SentSetUp> {
+        self.set_ups.iter().filter(move |set_up| set_up.call == id)
+    }
+
+    pub fn set_ups_at(&self, switch: u64) -> impl Iterator<Item = &SentSetUp> {
+        self.set_ups.iter().filter(move |set_up| set_up.switch == switch)
+    }
+
+    pub fn has_logged(&self, line: &str) -> bool {
+        self.log_lines.iter().any(|logged| logged == line)
     }
 
-    pub fn answers_of(&self, id: u64) -> usize {
-        self.answers.iter().filter(|a| a.0 == id).count()
+    pub fn final_answer_count(&self, id: u64) -> usize {
+        self.final_answers.iter().filter(|answer| answer.call == id).count()
     }
 
-    pub fn answered(&self, id: u64) -> bool {
-        self.answers_of(id) > 0
+    pub fn has_final_answer(&self, id: u64) -> bool {
+        self.final_answer_count(id) > 0
     }
 
-    pub fn answered_at(&self, id: u64) -> Micros {
-        self.answers.iter().find(|a| a.0 == id).map(|a| a.1).unwrap()
+    pub fn final_answer_time(&self, id: u64) -> Micros {
+        self.final_answers.iter().find(|answer| answer.call == id).unwrap().answered_at
     }
 
-    pub fn give_up_of(&self, id: u64) -> Micros {
-        self.give_up.iter().find(|g| g.0 == id).map(|g| g.1).unwrap()
+    pub fn deadline(&self, id: u64) -> Micros {
+        self.deadlines[&id]
     }
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,248 +1,311 @@
-//! Random legal events under varied settings, with a fixed seed; an independent checker watches every action
-//! for rules 1, 2, 3 and 5, the attempt limit, transit and the own exchange.
+//! Random valid events under varied settings, with fixed seeds. A checker that is independent of the module
+//! watches every action: exactly one final answer in time, one attempt at a time, the drain grace, the wait
+//! for the release, the attempt limit, the routes of transit calls, no set-ups to the own exchange, and no
+//! repeat of at-most-once calls that may have been executed.
 
 mod common;
-use common::{listed, ms, sec, settings};
+use common::{RunningTimer, list_entry, millis, secs, settings};
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
 use std::collections::BTreeMap;
 use wheatpier::control::Controller;
 use wheatpier::interface::*;
 
-struct Watched {
-    to: i64,
+/// A final answer may come this long after the call's deadline.
+const FINAL_ANSWER_TOLERANCE: Micros = millis(20);
+
+#[derive(Clone, Copy)]
+struct PendingAttempt {
+    attempt: u32,
+    switch: u64,
+    times_out_at: Micros,
+}
+
+/// What the checker knows of a call.
+struct CallRecord {
+    destination: ExchangeNumber,
     transit: bool,
-    give_up_at: Micros,
-    /// Attempt out: its number and exchange.
-    out: Option<(u32, u64, Micros)>,
+    deadline: Micros,
+    pending: Option<PendingAttempt>,
     attempts: u32,
-    doubtful_at: Option<Micros>,
-    may_have_run: bool,
-    standing: bool,
-    done: bool,
+    /// When an attempt last ended that its switch may still have to release.
+    release_awaited_since: Option<Micros>,
+    /// An attempt may have been executed.
+    maybe_executed: bool,
+    established: bool,
+    /// The call has its final answer or has ended.
+    closed: bool,
+}
+
+/// What the checker knows of a switch.
+struct SwitchRecord {
+    exchange_number: ExchangeNumber,
+    /// When the module was told that the switch drains or is gone.
+    leaving_since: Option<Micros>,
 }
 
-struct World {
+/// A controller that is fed random events, and the checker of its actions.
+struct Simulation {
     rng: ChaCha8Rng,
     now: Micros,
-    module: Controller,
-    set: Settings,
-    timers: Vec<(Micros, u64)>,
-    calls: BTreeMap<u64, Watched>,
-    /// Number and, when not in service, since when the module knows.
-    exchanges: BTreeMap<u64, (i64, Option<Micros>)>,
-    sends: usize,
-    answers: usize,
+    controller: Controller,
+    settings: Settings,
+    timers: Vec<RunningTimer>,
+    calls: BTreeMap<u64, CallRecord>,
+    switches: BTreeMap<u64, SwitchRecord>,
+    set_up_count: usize,
+    final_answer_count: usize,
 }
 
-impl World {
-    fn below(&mut self, n: u64) -> u64 {
-        self.rng.next_u64() % n
+impl Simulation {
+    /// A random number in `0..limit`.
+    fn random_below(&mut self, limit: u64) -> u64 {
+        self.rng.next_u64() % limit
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.module.handle(self.now, event, &mut actions);
-        self.check(actions);
+        self.controller.handle(self.now, event, &mut actions);
+        self.check_actions(actions);
     }
 
-    fn check(&mut self, actions: Vec<Action>) {
+    fn check_actions(&mut self, actions: Vec<Action>) {
+        let now = self.now;
+        let at_most_once = self.settings.classes[0].repeat_policy == RepeatPolicy::AtMostOnce;
         for action in actions {
             match action {
                 Action::SendSetUp { call, switch, timeout } => {
-                    self.sends += 1;
-                    let (number, ending) = self.exchanges[&switch.0];
-                    let c = self.calls.get_mut(&call.0).expect("a call that was given");
-                    assert!(!c.done && !c.standing, "rule 1: sent after its end");
-                    assert!(c.out.is_none(), "rule 2: two attempts out");
-                    assert!(self.now < c.give_up_at, "sent after the caller gave up");
-                    if let Some(since) = ending {
-                        assert!(self.now <= since + self.set.drain_grace, "rule 3");
+                    self.set_up_count += 1;
+                    let SwitchRecord { exchange_number, leaving_since } = self.switches[&switch.0];
+                    let call = self.calls.get_mut(&call.0).expect("set-up for an unknown call");
+                    assert!(
+                        !call.closed && !call.established,
+                        "set-up after the call was closed or established"
+                    );
+                    assert!(call.pending.is_none(), "two attempts of a call in progress");
+                    assert!(now < call.deadline, "set-up after the call's deadline");
+                    if let Some(since) = leaving_since {
+                        assert!(now <= since + self.settings.drain_grace, "set-up after the drain grace");
                     }
-                    if let Some(at) = c.doubtful_at {
-                        assert!(self.now >= at + self.set.release_wait, "rule 5");
+                    if let Some(since) = call.release_awaited_since {
+                        assert!(now >= since + self.settings.release_wait, "set-up before the release");
                     }
-                    assert!(c.attempts < self.set.max_attempts, "attempt limit");
-                    assert!(!c.transit || number == c.to, "transit only to its destination");
-                    assert!(number != self.set.own_exchange, "never to the own exchange");
-                    let side = self.set.classes[0].repeat_policy == RepeatPolicy::AtMostOnce;
-                    assert!(!(side && c.may_have_run), "a side effect twice");
-                    c.out = Some((c.attempts, switch.0, self.now + timeout));
-                    c.attempts += 1;
+                    assert!(call.attempts < self.settings.max_attempts, "more attempts than allowed");
+                    assert!(
+                        !call.transit || exchange_number == call.destination,
+                        "transit call sent elsewhere than to its destination"
+                    );
+                    assert!(exchange_number != self.settings.own_exchange, "set-up to the own exchange");
+                    assert!(
+                        !(at_most_once && call.maybe_executed),
+                        "at-most-once call repeated after it may have been executed"
+                    );
+                    let times_out_at = now + timeout;
+                    call.pending =
+                        Some(PendingAttempt { attempt: call.attempts, switch: switch.0, times_out_at });
+                    call.attempts += 1;
                 }
                 Action::Reject { call, .. } | Action::Fail(call) => {
-                    self.answers += 1;
-                    let side = self.set.classes[0].repeat_policy == RepeatPolicy::AtMostOnce;
-                    let c = self.calls.get_mut(&call.0).expect("a call that was given");
-                    assert!(!c.done, "rule 1: two final answers");
-                    assert!(self.now <= c.give_up_at + ms(20), "rule 1: too late");
+                    self.final_answer_count += 1;
+                    let call = self.calls.get_mut(&call.0).expect("final answer to an unknown call");
+                    assert!(!call.closed, "final answer to a closed call");
+                    assert!(now <= call.deadline + FINAL_ANSWER_TOLERANCE, "final answer after the deadline");
                     if matches!(action, Action::Reject { .. }) {
                         assert!(
-                            !(side && (c.may_have_run || c.out.is_some())),
-                            "refused after it may have run"
+                            !(at_most_once && (call.maybe_executed || call.pending.is_some())),
+                            "at-most-once call rejected although it may have been executed"
                         );
                     }
-                    c.done = true;
+                    call.closed = true;
+                }
+                Action::SetTimer { after, token } => {
+                    self.timers.push(RunningTimer { expires_at: now + after, token });
                 }
-                Action::SetTimer { after, token } => self.timers.push((self.now + after, token)),
                 Action::Cancel { call, attempt } => {
-                    assert!(self.set.may_cancel && attempt < self.calls[&call.0].attempts);
+                    assert!(self.settings.may_cancel && attempt < self.calls[&call.0].attempts);
                 }
-                Action::Probe(_) => assert!(self.set.may_probe),
-                Action::Subscribe => assert!(self.set.must_subscribe),
+                Action::Probe(_) => assert!(self.settings.may_probe),
+                Action::Subscribe => assert!(self.settings.must_subscribe),
                 Action::Log(_) => {}
             }
         }
     }
 
-    fn end(&mut self, id: u64, outcome: Outcome, cause: EndReason) {
-        let c = self.calls.get_mut(&id).unwrap();
-        let Some((attempt, exchange, _)) = c.out.take() else { return };
+    /// Ends the attempt of a call that is in progress; does nothing if there is none.
+    fn end_attempt(&mut self, id: u64, outcome: Outcome, reason: EndReason) {
+        let now = self.now;
+        let call = self.calls.get_mut(&id).unwrap();
+        let Some(PendingAttempt { attempt, switch, .. }) = call.pending.take() else { return };
         if !matches!(outcome, Outcome::Congested | Outcome::NotSent | Outcome::Unreachable) {
-            c.may_have_run = true;
+            call.maybe_executed = true;
         }
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            c.doubtful_at = Some(self.now);
+            call.release_awaited_since = Some(now);
         }
-        let closed = c.done || c.standing || outcome == Outcome::Completed;
-        c.done |= closed;
-        let (call, switch, report) = (CallId(id), SwitchId(exchange), LoadReport::default());
-        self.event(Event::AttemptEnded(AttemptEnd {
-            call,
+        call.closed |= call.established || outcome == Outcome::Completed;
+        let call_closed = call.closed;
+        self.handle(Event::AttemptEnded(AttemptEnd {
+            call: CallId(id),
             attempt,
-            switch,
+            switch: SwitchId(switch),
             outcome,
-            reason: cause,
-            call_closed: closed,
-            report,
+            reason,
+            call_closed,
+            report: LoadReport::default(),
         }));
     }
 
-    fn step(&mut self, round: u64) {
-        self.now += ms(5);
+    /// Advances the clock by 5 ms, fires expired timers, times attempts out and adds random events. A new
+    /// call gets the id `new_id`.
+    fn step(&mut self, new_id: u64) {
+        self.now += millis(5);
         let now = self.now;
-        let due: Vec<u64> = self.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
-        self.timers.retain(|t| t.0 > now);
-        due.into_iter().for_each(|t| self.event(Event::Timer(t)));
-        let expired: Vec<u64> =
-            self.calls.iter().filter(|c| c.1.out.is_some_and(|o| o.2 <= now)).map(|c| *c.0).collect();
-        expired.into_iter().for_each(|id| self.end(id, Outcome::TimedOut, EndReason::Unknown));
-        for c in self.calls.values().filter(|c| !c.done && !c.standing) {
-            assert!(now <= c.give_up_at + ms(20), "rule 1: unanswered");
+        let expired_timers = self.timers.iter().filter(|timer| timer.expires_at <= now);
+        let tokens: Vec<u64> = expired_timers.map(|timer| timer.token).collect();
+        self.timers.retain(|timer| timer.expires_at > now);
+        tokens.into_iter().for_each(|token| self.handle(Event::Timer(token)));
+        let has_timed_out = |call: &CallRecord| call.pending.is_some_and(|p| p.times_out_at <= now);
+        let timed_out: Vec<u64> =
+            self.calls.iter().filter(|(_, call)| has_timed_out(call)).map(|(id, _)| *id).collect();
+        for id in timed_out {
+            self.end_attempt(id, Outcome::TimedOut, EndReason::Unknown);
         }
-        if self.below(3) == 0 {
-            let (to, transit) = (1 + self.below(4) as i64, self.below(6) == 0);
-            let give_up_at = now + ms(50 + self.below(3000) as i64);
-            let watched = Watched {
-                to,
+        for call in self.calls.values().filter(|call| !call.closed && !call.established) {
+            assert!(now <= call.deadline + FINAL_ANSWER_TOLERANCE, "no final answer by the deadline");
+        }
+        if self.random_below(3) == 0 {
+            let destination = 1 + self.random_below(4) as i64;
+            let transit = self.random_below(6) == 0;
+            let deadline = now + millis(50 + self.random_below(3000) as i64);
+            let record = CallRecord {
+                destination,
                 transit,
-                give_up_at,
-                out: None,
+                deadline,
+                pending: None,
                 attempts: 0,
-                doubtful_at: None,
-                may_have_run: false,
-                standing: false,
-                done: false,
+                release_awaited_since: None,
+                maybe_executed: false,
+                established: false,
+                closed: false,
             };
-            self.calls.insert(round, watched);
-            let new = NewCall {
-                id: CallId(round),
+            self.calls.insert(new_id, record);
+            let request = NewCall {
+                id: CallId(new_id),
                 class: 0,
                 tenant: None,
                 called_number: format!("n{}", self.rng.next_u32() % 9),
-                deadline: give_up_at,
-                destination: to,
+                deadline,
+                destination,
                 circuits: 1.0,
                 via_exchange: -1,
                 redial: self.rng.next_u32().is_multiple_of(4),
                 transit,
             };
-            self.event(Event::NewCall(new));
+            self.handle(Event::NewCall(request));
         }
-        let out: Vec<u64> = self.calls.iter().filter(|c| c.1.out.is_some()).map(|c| *c.0).collect();
-        if !out.is_empty() {
-            let id = out[self.below(out.len() as u64) as usize];
-            match self.below(14) {
+        let in_progress: Vec<u64> =
+            self.calls.iter().filter(|(_, call)| call.pending.is_some()).map(|(id, _)| *id).collect();
+        if !in_progress.is_empty() {
+            let id = in_progress[self.random_below(in_progress.len() as u64) as usize];
+            match self.random_below(14) {
                 0..4 => {
-                    let c = self.calls.get_mut(&id).unwrap();
-                    if !c.done && !c.standing {
-                        c.standing = true;
-                        let (attempt, _, until) = c.out.unwrap();
-                        c.out = Some((attempt, c.out.unwrap().1, until + sec(20)));
-                        let took = ms(40 + self.below(900) as i64);
-                        self.event(Event::Established { call: CallId(id), attempt, set_up_time: took });
+                    let call = self.calls.get_mut(&id).unwrap();
+                    if !call.closed && !call.established {
+                        call.established = true;
+                        let pending = call.pending.as_mut().unwrap();
+                        // An established call ends as timed out 20 s later if nothing else ends it.
+                        pending.times_out_at += secs(20);
+                        let attempt = pending.attempt;
+                        let set_up_time = millis(40 + self.random_below(900) as i64);
+                        self.handle(Event::Established { call: CallId(id), attempt, set_up_time });
                     }
                 }
-                4 => self.end(id, Outcome::Congested, EndReason::RejectedByTandem),
-                5 => self.end(id, Outcome::Congested, EndReason::ProcessorCongested(ms(300))),
-                6 => self.end(id, Outcome::Reset, EndReason::Unknown),
-                7 => self.end(id, Outcome::Unreachable, EndReason::Unknown),
-                8 => self.end(id, Outcome::NotSent, EndReason::NoCircuit),
-                9 => self.end(id, Outcome::Failed, EndReason::SubscriberBusy),
-                10 => self.end(id, Outcome::Completed, EndReason::Unknown),
+                4 => self.end_attempt(id, Outcome::Congested, EndReason::RejectedByTandem),
+                5 => self.end_attempt(id, Outcome::Congested, EndReason::ProcessorCongested(millis(300))),
+                6 => self.end_attempt(id, Outcome::Reset, EndReason::Unknown),
+                7 => self.end_attempt(id, Outcome::Unreachable, EndReason::Unknown),
+                8 => self.end_attempt(id, Outcome::NotSent, EndReason::NoCircuit),
+                9 => self.end_attempt(id, Outcome::Failed, EndReason::SubscriberBusy),
+                10 => self.end_attempt(id, Outcome::Completed, EndReason::Unknown),
                 11 => {
-                    let c = self.calls.get_mut(&id).unwrap();
-                    if !c.standing && !c.done {
-                        c.done = true;
-                        self.event(Event::CallerGone(CallId(id)));
+                    let call = self.calls.get_mut(&id).unwrap();
+                    if !call.established && !call.closed {
+                        call.closed = true;
+                        self.handle(Event::CallerGone(CallId(id)));
                     }
                 }
                 _ => {}
             }
         }
-        if self.below(40) == 0 {
-            let number = self.below(5) as i64;
-            let id = 100 + number as u64 + 100 * self.below(2);
+        if self.random_below(40) == 0 {
+            let exchange_number = self.random_below(5) as i64;
+            let switch = 100 + exchange_number as u64 + 100 * self.random_below(2);
             let health = [Health::InService, Health::InService, Health::Draining, Health::Gone]
-                [self.below(4) as usize];
-            let up = (self.below(2) == 0).then_some(now - ms(300));
-            let since = (health != Health::InService).then_some(now);
-            let known = self.exchanges.get(&id).and_then(|e| e.1);
-            self.exchanges.insert(id, (number, since.map(|s| known.unwrap_or(s))));
-            self.event(Event::SwitchList(SwitchListUpdate::Changes(vec![listed(id, number, health, up)])));
+                [self.random_below(4) as usize];
+            let up_since = (self.random_below(2) == 0).then_some(now - millis(300));
+            let known_since = self.switches.get(&switch).and_then(|record| record.leaving_since);
+            let leaving_since = (health != Health::InService).then_some(known_since.unwrap_or(now));
+            self.switches.insert(switch, SwitchRecord { exchange_number, leaving_since });
+            let entry = list_entry(switch, exchange_number, health, up_since);
+            self.handle(Event::SwitchList(SwitchListUpdate::Changes(vec![entry])));
         }
-        if self.below(10) == 0 {
-            let free = self.below(6) as f64;
-            let report =
-                LoadReport { free_circuits: Some(free), group_size: Some(20.0), ..LoadReport::default() };
-            let switch = SwitchId(100 + self.below(5));
-            self.event(Event::SwitchStatus { switch, answered: true, round_trip: 0, report });
+        if self.random_below(10) == 0 {
+            let free_circuits = self.random_below(6) as f64;
+            let report = LoadReport {
+                free_circuits: Some(free_circuits),
+                group_size: Some(20.0),
+                ..LoadReport::default()
+            };
+            let switch = SwitchId(100 + self.random_below(5));
+            self.handle(Event::SwitchStatus { switch, answered: true, round_trip: 0, report });
         }
     }
 }
 
-fn play(seed: u64) -> (usize, usize) {
+/// Runs 3000 steps under settings that depend on the seed; returns the simulation for its counts.
+fn run_simulation(seed: u64) -> Simulation {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut set = settings();
-    set.classes[0].repeat_policy =
+    let mut settings = settings();
+    settings.classes[0].repeat_policy =
         [RepeatPolicy::Idempotent, RepeatPolicy::AtMostOnce, RepeatPolicy::Deduplicated]
             [(rng.next_u32() % 3) as usize];
-    set.max_attempts = 1 + rng.next_u32() % 4;
-    set.may_cancel = rng.next_u32().is_multiple_of(2);
-    set.may_send_back_off = rng.next_u32().is_multiple_of(2);
-    set.release_wait = ms(100 + i64::from(rng.next_u32() % 400));
-    let now = sec(50);
+    settings.max_attempts = 1 + rng.next_u32() % 4;
+    settings.may_cancel = rng.next_u32().is_multiple_of(2);
+    settings.may_send_back_off = rng.next_u32().is_multiple_of(2);
+    settings.release_wait = millis(100 + i64::from(rng.next_u32() % 400));
+    let now = secs(50);
     let mut actions = Vec::new();
-    let module = Controller::new(set.clone(), seed, now, &mut actions);
-    let exchanges: BTreeMap<_, _> = (0..5).map(|n| (100 + n as u64, (n as i64, None))).collect();
-    let calls = BTreeMap::new();
-    let mut w = World { rng, now, module, set, timers: vec![], calls, exchanges, sends: 0, answers: 0 };
-    w.check(actions);
-    let list = (0..5).map(|n| listed(100 + n, n as i64, Health::InService, None)).collect();
-    w.event(Event::SwitchList(SwitchListUpdate::Full(list)));
-    for round in 0..3000 {
-        w.step(round);
+    let controller = Controller::new(settings.clone(), seed, now, &mut actions);
+    let record = |exchange_number| SwitchRecord { exchange_number, leaving_since: None };
+    let mut simulation = Simulation {
+        rng,
+        now,
+        controller,
+        settings,
+        timers: vec![],
+        calls: BTreeMap::new(),
+        switches: (0..5).map(|number| (100 + number as u64, record(number))).collect(),
+        set_up_count: 0,
+        final_answer_count: 0,
+    };
+    simulation.check_actions(actions);
+    let list = (0..5).map(|n| list_entry(100 + n, n as i64, Health::InService, None)).collect();
+    simulation.handle(Event::SwitchList(SwitchListUpdate::Full(list)));
+    for step in 0..3000 {
+        simulation.step(step);
     }
-    (w.sends, w.answers)
+    simulation
 }
 
 #[test]
-fn random_days_keep_the_rules() {
-    let mut total = (0, 0);
+fn random_events_lead_to_valid_actions_only() {
+    let mut set_ups = 0;
+    let mut final_answers = 0;
     for seed in 0..22 {
-        let (sends, answers) = play(seed);
-        total = (total.0 + sends, total.1 + answers);
+        let simulation = run_simulation(seed);
+        set_ups += simulation.set_up_count;
+        final_answers += simulation.final_answer_count;
     }
-    // The days must really exercise the module.
-    assert!(total.0 > 1_500 && total.1 > 3_000, "{total:?}");
+    // The runs must exercise the module.
+    assert!(set_ups > 1_500 && final_answers > 3_000, "{set_ups} set-ups and {final_answers} final answers");
 }
