--- a/src/call.rs
+++ b/src/call.rs
@@ -44,20 +44,22 @@
 pub type Tag = u64;
 
 /// How long the tag of an ended call is kept, so that messages that still arrive for it are taken for
-/// repeats. It is long because a switch repeats a release on the next connection that it opens, which may
-/// take a while.
+/// repeats. It is long because a switch repeats a release on its next connection, which may be established
+/// much later.
 const ENDED_TAG_RETENTION: Micros = 600_000_000;
 /// Most tags of ended calls that are kept, as a multiple of the calls that the call table may hold.
 const MAX_ENDED_TAGS_PER_CALL: usize = 8;
-/// Back-off of set-ups that are rejected because there is no room for them.
+/// Back-off of set-ups that are rejected without asking the controller, because a limit on calls is reached.
 const CONGESTION_BACK_OFF: Micros = 1_000_000;
 /// A probe that has not been answered after this time has failed.
 const PROBE_TIMEOUT: Micros = 250_000;
+/// Shortest round trip that is reported for a probe: 0 stands for an unsolicited load report.
+const MIN_ROUND_TRIP: Micros = 1;
 /// Highest exchange number that a set-up may name.
 const MAX_EXCHANGE_NUMBER: ExchangeNumber = 1_000_000;
 /// Most circuits that a set-up may take where the settings do not give the number for its class.
 const MAX_CIRCUITS: f64 = 1e3;
-/// Largest difference at which two numbers of circuits are equal.
+/// Numbers of circuits that differ by less than this are equal.
 const CIRCUITS_TOLERANCE: f64 = 1e-9;
 
 /// Limits on the values in set-ups and on the memory that calls may take.
@@ -69,8 +71,8 @@
     pub max_description_bytes: usize,
     /// Longest `caller_timeout` that a set-up may state.
     pub max_caller_timeout: Micros,
-    /// The circuits that a call takes, by class index. A class without an entry may take any number of them
-    /// up to a fixed limit.
+    /// The circuits that a call takes, by class index. A call of a class without an entry may take any number
+    /// above 0, up to `MAX_CIRCUITS`.
     pub circuits_by_class: Vec<f64>,
 }
 
@@ -226,7 +228,7 @@
     /// decides on the call, holds it or waits before the next attempt.
     Unanswered(Option<Attempt>),
     /// The switch has answered the attempt whose set-up was sent at `sent_at`.
-    Answered { switch: SwitchId, sent_at: Micros, attempt: u32 },
+    Answered { switch: SwitchId, sent_at: Micros, attempt_number: u32 },
 }
 
 struct Call {
@@ -270,7 +272,7 @@
     last_call_id: u64,
     /// Tags of calls that have ended, and when they were last recorded.
     ended_tags: HashMap<Tag, Micros>,
-    /// Expiry times of `ended_tags`, earliest first.
+    /// Expiry times of the tags in `ended_tags`, earliest first.
     ended_tag_expiries: VecDeque<EndedTagExpiry>,
     /// Probes without an answer.
     probes: HashMap<Tag, Probe>,
@@ -330,7 +332,8 @@
     /// Whether a call has an attempt out at a switch or was answered by it.
     pub fn has_calls_at(&self, switch: SwitchId) -> bool {
         self.calls.values().any(|call| match &call.state {
-            CallState::Unanswered(attempt) => attempt.as_ref().is_some_and(|out| out.switch == switch),
+            CallState::Unanswered(Some(attempt)) => attempt.switch == switch,
+            CallState::Unanswered(None) => false,
             CallState::Answered { switch: answering, .. } => *answering == switch,
         })
     }
@@ -346,8 +349,8 @@
 
     // Messages and connections of callers.
 
-    /// Takes a set-up from a caller. If there is no room for it, it is rejected without asking the
-    /// controller.
+    /// Takes a set-up from a caller. If the call table is full, or the session descriptions would take too
+    /// many bytes, the set-up is rejected without asking the controller.
     ///
     /// # Errors
     /// The set-up was not accepted, and the caller has not been told.
@@ -374,15 +377,15 @@
         if !valid {
             return Err(SetUpError::Invalid);
         }
-        let description_bytes =
+        let new_description_bytes =
             self.description_bytes + set_up.session_description.as_ref().map_or(0, String::len);
-        if self.calls.len() >= self.limits.max_calls || description_bytes > self.limits.max_description_bytes
-        {
+        let calls_full = self.calls.len() >= self.limits.max_calls;
+        if calls_full || new_description_bytes > self.limits.max_description_bytes {
             // Bounds the memory that calls take, by the limits in the settings and the configuration.
             self.reject_for_congestion(connection, set_up.tag);
             return Ok(());
         }
-        self.description_bytes = description_bytes;
+        self.description_bytes = new_description_bytes;
         self.last_call_id += 1;
         let id = CallId(self.last_call_id);
         let caller_deadline = now.saturating_add(set_up.caller_timeout);
@@ -413,7 +416,7 @@
         Ok(())
     }
 
-    /// Rejects a set-up for which there is no room, without asking the controller.
+    /// Rejects a set-up that would exceed a limit on calls, without asking the controller.
     pub fn reject_for_congestion(&mut self, connection: ConnectionId, tag: Tag) {
         self.commands.push(Command::Reject {
             connection,
@@ -465,7 +468,7 @@
         counts
     }
 
-    /// Removes a call that its caller has released, and releases it at its switch.
+    /// Removes a call whose caller has released it or has disconnected, and releases it at its switch.
     fn release_for_caller(&mut self, now: Micros, id: CallId) {
         let Some(call) = self.remove_call(now, id) else { return };
         match call.state {
@@ -476,9 +479,9 @@
                     self.push_attempt_end(id, attempt.number, attempt.switch, Outcome::Cancelled, true);
                 }
             }
-            CallState::Answered { switch, attempt, .. } => {
+            CallState::Answered { switch, attempt_number, .. } => {
                 self.release_at_switch(call.tag, switch);
-                self.push_attempt_end(id, attempt, switch, Outcome::Cancelled, true);
+                self.push_attempt_end(id, attempt_number, switch, Outcome::Cancelled, true);
             }
         }
     }
@@ -493,18 +496,23 @@
         let call = id.and_then(|id| self.calls.get_mut(&id).map(|call| (id, call)));
         if let Some((id, call)) = call {
             match &call.state {
-                CallState::Unanswered(Some(out)) if out.switch == switch => {
-                    let attempt = out.number;
-                    let sent_at = out.sent_at;
-                    call.state = CallState::Answered { switch, sent_at, attempt };
+                CallState::Unanswered(Some(attempt)) if attempt.switch == switch => {
+                    let attempt_number = attempt.number;
+                    let sent_at = attempt.sent_at;
+                    call.state = CallState::Answered { switch, sent_at, attempt_number };
                     let set_up_delay = now - sent_at;
                     // The caller's session description is no longer needed, and an answered call may last
                     // long.
                     self.description_bytes -= call.session_description.take().map_or(0, |text| text.len());
-                    self.pending_events.push(Event::Established { call: id, attempt, set_up_delay });
+                    self.pending_events.push(Event::Established {
+                        call: id,
+                        attempt: attempt_number,
+                        set_up_delay,
+                    });
                     let connection = call.connection;
                     return self.commands.push(Command::Answer { connection, tag, session_description });
                 }
+                // A repeated answer.
                 CallState::Answered { switch: answering, .. } if *answering == switch => return,
                 _ => {}
             }
@@ -520,9 +528,9 @@
     pub fn handle_switch_release(&mut self, now: Micros, switch: SwitchId, tag: Tag, release: Release) {
         let Some(id) = self.call_ids.get(&tag).copied() else {
             self.handle_load_report(switch, release.report);
-            let was_answered = matches!(release.cause, cause::NORMAL_CLEARING | cause::TEMPORARY_FAILURE);
-            if was_answered && !self.ended_tags.contains_key(&tag) {
-                // The call was set up before the last restart, and its caller still takes it for answered.
+            let may_be_answered = matches!(release.cause, cause::NORMAL_CLEARING | cause::TEMPORARY_FAILURE);
+            if may_be_answered && !self.ended_tags.contains_key(&tag) {
+                // A call that was set up before the last restart. Its caller may still take it for answered.
                 self.record_ended_tag(now, tag);
                 self.commands.push(Command::ReleaseToCaller { connection: None, tag, cause: release.cause });
             }
@@ -554,7 +562,7 @@
                     if release.cause == cause::NORMAL_CLEARING { Outcome::Completed } else { Outcome::Reset };
                 self.end_answered_call(now, id, release.cause, outcome, release.report);
             }
-            // The release of an attempt that has already been released from this side.
+            // The release of an attempt that the gatekeeper has already released.
             _ => self.handle_load_report(switch, release.report),
         }
     }
@@ -566,13 +574,14 @@
         }
     }
 
-    /// A switch that did not answer has sent a message on a new connection, `response_time` after that was
-    /// begun. To the controller this is the same as an answered probe.
+    /// A switch that did not answer on its open connection has sent a message on a new one, `response_time`
+    /// after the gatekeeper began to connect. To the controller, that message is the same as an answered
+    /// probe.
     pub fn handle_switch_responsive(&mut self, switch: SwitchId, response_time: Micros) {
         self.pending_events.push(Event::SwitchStatus {
             switch,
             answered: true,
-            round_trip: response_time.max(1),
+            round_trip: response_time.max(MIN_ROUND_TRIP),
             report: LoadReport::default(),
         });
     }
@@ -583,13 +592,13 @@
             self.pending_events.push(Event::SwitchStatus {
                 switch: probe.switch,
                 answered: passed,
-                round_trip: (now - probe.sent_at).max(1),
+                round_trip: (now - probe.sent_at).max(MIN_ROUND_TRIP),
                 report,
             });
         }
     }
 
-    /// These set-ups were never sent, as there is no connection to their switch.
+    /// Ends the attempts whose set-ups were never sent, because there is no connection to their switch.
     pub fn fail_unsent_set_ups(&mut self, switch: SwitchId, tags: &[Tag]) {
         for tag in tags {
             self.end_attempts(switch, Outcome::Unreachable, |call| call.tag == *tag);
@@ -622,8 +631,8 @@
         }
     }
 
-    /// A switch has failed or cannot be reached: releases the calls that it answered and whose set-ups were
-    /// sent before `sent_before`.
+    /// A switch has failed, has restarted, is gone or cannot be reached: releases the calls that it answered
+    /// and whose set-ups were sent before `sent_before`.
     pub fn handle_switch_down(&mut self, now: Micros, switch: SwitchId, sent_before: Micros) {
         let affected = |call: &Call| match call.state {
             CallState::Answered { switch: answering, sent_at, .. } => {
@@ -652,7 +661,7 @@
         &mut self, now: Micros, id: CallId, cause: u8, outcome: Outcome, report: LoadReport,
     ) {
         let Some(call) = self.remove_call(now, id) else { return };
-        let CallState::Answered { switch, attempt, .. } = call.state else { return };
+        let CallState::Answered { switch, attempt_number, .. } = call.state else { return };
         self.commands.push(Command::ReleaseToCaller {
             connection: Some(call.connection),
             tag: call.tag,
@@ -660,7 +669,7 @@
         });
         self.pending_events.push(Event::AttemptEnded(AttemptEnd {
             call: id,
-            attempt,
+            attempt: attempt_number,
             switch,
             outcome,
             reason: EndReason::Unknown,
@@ -702,10 +711,11 @@
 
     /// Passes the events since the last batch to the controller, if a batch is due, and executes its actions.
     ///
-    /// Batches have the properties that the simulator's protocol gives them: all events of a batch have its
-    /// time and come in order of arrival; it starts at least the batch interval after the last one; the
-    /// actions are executed after its last event, in order; events that they cause at once are part of the
-    /// next batch.
+    /// Batches have the same properties as in the simulator's protocol ([`crate::wire`]):
+    /// - All events of a batch have the time of the batch and come in order of arrival.
+    /// - A batch starts at least the batch interval after the one before.
+    /// - Actions are executed in order, after the last event of the batch.
+    /// - Events that the actions cause at once are part of the next batch.
     pub fn run_batch(&mut self, now: Micros) {
         if self.pending_events.is_empty() || now < self.next_batch_at {
             return;
@@ -715,8 +725,10 @@
             self.controller.handle(now, event, &mut self.actions);
         }
         self.execute_actions(now);
+        // Removes the tags that have expired and, if too many are left, the oldest.
+        let max_ended_tags = MAX_ENDED_TAGS_PER_CALL * self.limits.max_calls;
         while self.ended_tag_expiries.front().is_some_and(|expiry| expiry.expires_at <= now)
-            || self.ended_tags.len() > MAX_ENDED_TAGS_PER_CALL * self.limits.max_calls
+            || self.ended_tags.len() > max_ended_tags
         {
             let Some(expiry) = self.ended_tag_expiries.pop_front() else { break };
             self.ended_tags.remove(&expiry.tag);
@@ -749,7 +761,7 @@
                     self.timers.push(now + PROBE_TIMEOUT, TimerEvent::ProbeTimeout(tag));
                     self.commands.push(Command::Probe { switch, tag });
                 }
-                // The control feed sends changes to the list without being asked.
+                // The control feed sends changes to the switch list without being asked.
                 Action::Subscribe => {}
                 Action::SetTimer { after, token } => {
                     let deadline = now.saturating_add(after.max(0));
@@ -765,7 +777,8 @@
         let number = call.next_attempt;
         call.next_attempt += 1;
         if !matches!(call.state, CallState::Unanswered(None)) {
-            // A call never has two attempts out, even if the controller decided before it knew of the first.
+            // A call never has two attempts out, and none after its answer, even if the controller decided
+            // before it knew of the attempt or the answer.
             return self.push_attempt_end(id, number, switch, Outcome::NotSent, true);
         }
         call.state = CallState::Unanswered(Some(Attempt { number, switch, sent_at: now }));
@@ -803,6 +816,7 @@
         Some(call)
     }
 
+    /// Records the tag of an ended call. A tag that is recorded already keeps its expiry time.
     fn record_ended_tag(&mut self, now: Micros, tag: Tag) {
         if self.ended_tags.insert(tag, now).is_none() {
             self.ended_tag_expiries.push_back(EndedTagExpiry { expires_at: now + ENDED_TAG_RETENTION, tag });
--- a/src/call/tests.rs
+++ b/src/call/tests.rs
@@ -130,8 +130,7 @@
     let commands = fixture.run_until_commands();
     assert!(matches!(commands[..], [Command::SetUp { tag: 1, .. }]), "{commands:?}");
     assert!(fixture.now - reset_at >= 500 * MS);
-    // The controller may decide on an older state of the call: no second attempt is sent beside the
-    // first.
+    // The controller may decide on an older state of the call: no second attempt is sent beside the first.
     fixture.call_control.send_attempt(fixture.now, CallId(1), SWITCH, MS);
     assert_eq!(std::mem::take(&mut fixture.call_control.commands), []);
 }
@@ -203,8 +202,9 @@
 #[test]
 fn description_bytes_of_unanswered_calls_are_limited() {
     let mut fixture = Fixture::new();
+    // Room for one description of 7 bytes, not for two.
     fixture.call_control.limits.max_description_bytes = 10;
-    let set_up_call = |fixture: &mut Fixture, tag: Tag| {
+    let set_up_with_description = |fixture: &mut Fixture, tag: Tag| {
         let set_up = SetUp {
             tag,
             class: "check".into(),
@@ -219,11 +219,11 @@
         fixture.now += 10 * MS;
         fixture.run_iteration()
     };
-    assert!(matches!(set_up_call(&mut fixture, 1)[..], [Command::SetUp { tag: 1, .. }]));
-    assert!(matches!(set_up_call(&mut fixture, 2)[..], [Command::Reject { tag: 2, .. }]));
+    assert!(matches!(set_up_with_description(&mut fixture, 1)[..], [Command::SetUp { tag: 1, .. }]));
+    assert!(matches!(set_up_with_description(&mut fixture, 2)[..], [Command::Reject { tag: 2, .. }]));
     fixture.call_control.handle_answer(fixture.now, SWITCH, 1, None);
     fixture.run_iteration();
-    assert!(matches!(set_up_call(&mut fixture, 3)[..], [Command::SetUp { tag: 3, .. }]));
+    assert!(matches!(set_up_with_description(&mut fixture, 3)[..], [Command::SetUp { tag: 3, .. }]));
     fixture.call_control.handle_caller_release(fixture.now, 3);
     assert_eq!(fixture.call_control.description_bytes, 0);
 }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -49,7 +49,8 @@
         self.cached_now = None;
     }
 
-    /// The instant at which the clock reads `at`, for the event loop's timer. Earlier times give the start.
+    /// The instant at which the clock reads `at`, for the event loop's timer. Times before the start give the
+    /// start.
     pub fn to_instant(&self, at: Micros) -> Instant {
         let offset_us = u64::try_from(at.saturating_sub(READING_AT_START)).unwrap_or(0);
         self.start + Duration::from_micros(offset_us.min(MAX_INSTANT_OFFSET_US))
--- a/src/main.rs
+++ b/src/main.rs
@@ -43,16 +43,18 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-fn load(path: Option<String>) -> Result<Config, String> {
-    let path = path.or_else(|| std::env::var("BALANCER_CONFIG").ok());
-    Config::load(Path::new(&path.ok_or("no configuration file: use --config or set BALANCER_CONFIG")?))
+fn load_config(path: Option<String>) -> Result<Config, String> {
+    let path = path
+        .or_else(|| std::env::var("BALANCER_CONFIG").ok())
+        .ok_or("no configuration file: use --config or set BALANCER_CONFIG")?;
+    Config::load(Path::new(&path))
 }
 
 fn run(command: Subcommand) -> Result<(), String> {
     match command {
-        Subcommand::Serve(serve) => net::serve(load(serve.config)?),
+        Subcommand::Serve(serve) => net::serve(load_config(serve.config)?),
         Subcommand::Check(check) => {
-            println!("{}", load(check.config)?.summary());
+            println!("{}", load_config(check.config)?.summary());
             Ok(())
         }
         Subcommand::Version(_) => {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -9,6 +9,14 @@
 #[cfg(test)]
 mod tests;
 
+/// Numbers in the controller's settings are below this in absolute value; those in seconds then fit into
+/// [`Micros`].
+const NUMBER_LIMIT: f64 = 1e12;
+/// Lists of objects in the settings have fewer items than this.
+const LIST_LENGTH_LIMIT: usize = 10_000;
+/// Numbers that only the network code uses are below this.
+const NETWORK_NUMBER_LIMIT: f64 = 1e9;
+
 /// Settings by path, such as `services.0.aimS`.
 pub type FlatSettings = BTreeMap<String, String>;
 
@@ -86,7 +94,9 @@
             pairs.insert(path.to_string(), scalars.join(","));
         }
         _ => {
-            scalar_text(value).map(|text| pairs.insert(path.to_string(), text));
+            if let Some(text) = scalar_text(value) {
+                pairs.insert(path.to_string(), text);
+            }
         }
     }
 }
@@ -118,8 +128,8 @@
 
     fn number(&self, key: &str) -> SettingResult<f64> {
         match self.text(key)?.parse::<f64>() {
-            Ok(value) if value.is_finite() && value.abs() < 1e12 => Ok(value),
-            _ => self.error(key, "must be a number between -1e12 and 1e12"),
+            Ok(value) if value.is_finite() && value.abs() < NUMBER_LIMIT => Ok(value),
+            _ => self.error(key, &format!("must be a number between -{NUMBER_LIMIT:e} and {NUMBER_LIMIT:e}")),
         }
     }
 
@@ -160,13 +170,15 @@
 
     /// Length of a list of objects, from its `.count`. An empty list is an empty text without a `.count`.
     fn list_length(&self, list: &str) -> SettingResult<usize> {
-        match self.pairs.get(&format!("{list}.count")) {
-            Some(text) => match text.parse() {
-                Ok(length) if length < 10_000 => Ok(length),
-                _ => self.error(list, "must be a list of fewer than 10000 items"),
-            },
-            None if self.pairs.get(list).is_some_and(|text| text.is_empty()) => Ok(0),
-            None => self.text(list).and_then(|_| self.error(list, "must be a list of objects")),
+        let Some(count) = self.pairs.get(&format!("{list}.count")) else {
+            return match self.text(list)? {
+                "" => Ok(0),
+                _ => self.error(list, "must be a list of objects"),
+            };
+        };
+        match count.parse() {
+            Ok(length) if length < LIST_LENGTH_LIMIT => Ok(length),
+            _ => self.error(list, &format!("must be a list of fewer than {LIST_LENGTH_LIMIT} items")),
         }
     }
 }
@@ -182,6 +194,7 @@
     for index in 0..reader.list_length("services")? {
         let key = |name: &str| format!("services.{index}.{name}");
         names.classes.push(reader.text(&key("name"))?.to_string());
+        // Items that are not numbers are ignored.
         let eligible_pools = match pairs.get(&format!("familyInfo.skilledPools.{index}")) {
             Some(list) => list.split(',').filter_map(|number| number.parse().ok()).collect(),
             None => vec![],
@@ -262,20 +275,20 @@
     list.split(',').map_while(|circuits| circuits.parse().ok()).collect()
 }
 
-/// A duration, set in seconds, that only the network side uses and [`Settings`] does not contain; `default`
-/// where it is missing or not a positive number.
+/// A duration, set in seconds, that only the network code uses and [`Settings`] does not contain; `default`
+/// where it is missing or is not a number above 0 and below `NETWORK_NUMBER_LIMIT`.
 pub fn duration_or(pairs: &FlatSettings, key: &str, default: Micros) -> Micros {
     positive_number(pairs, key).map_or(default, seconds_to_micros)
 }
 
-/// A count that only the network side uses, rounded down; `default` where it is missing or not a positive
-/// number.
+/// A count that only the network code uses, rounded down; `default` where it is missing or is not a number
+/// above 0 and below `NETWORK_NUMBER_LIMIT`.
 pub fn count_or(pairs: &FlatSettings, key: &str, default: usize) -> usize {
     positive_number(pairs, key).map_or(default, |count| count as usize)
 }
 
-/// A number above 0 and below 1e9; anything else is `None`.
+/// A number above 0 and below [`NETWORK_NUMBER_LIMIT`]; anything else is `None`.
 fn positive_number(pairs: &FlatSettings, key: &str) -> Option<f64> {
     let number = pairs.get(key).and_then(|text| text.parse::<f64>().ok());
-    number.filter(|number| *number > 0.0 && *number < 1e9)
+    number.filter(|number| *number > 0.0 && *number < NETWORK_NUMBER_LIMIT)
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,5 +1,8 @@
 //! The simulator's adapter: reads batches of tab-separated lines, passes their events to separate instances
 //! of the controller and writes the actions that these return. It makes no decisions.
+//!
+//! A batch starts with a MARK line, which gives its time, and ends with COMMIT. The reply is one line per
+//! action, followed by READY.
 
 use crate::control::Controller;
 use crate::interface::{
@@ -11,6 +14,9 @@
 use std::fmt::{self, Write as _};
 use std::io::{self, BufRead, Write};
 
+/// Times and durations in the input are below this in absolute value, so that they fit into [`Micros`].
+const SECONDS_LIMIT: f64 = 1e12;
+
 /// An error in the input or in reading or writing, described in one line.
 #[derive(Debug)]
 pub struct AdapterError(String);
@@ -75,10 +81,12 @@
 
     fn seconds(&mut self, field: &str) -> AdapterResult<Micros> {
         let seconds: f64 = self.parse(field)?;
-        if seconds.is_finite() && seconds.abs() < 1e12 {
+        if seconds.is_finite() && seconds.abs() < SECONDS_LIMIT {
             Ok(seconds_to_micros(seconds))
         } else {
-            self.error(field, "must be a number of seconds between -1e12 and 1e12")
+            let problem =
+                format!("must be a number of seconds between -{SECONDS_LIMIT:e} and {SECONDS_LIMIT:e}");
+            self.error(field, &problem)
         }
     }
 
@@ -98,10 +106,10 @@
             return Ok(report);
         }
         for pair in text.split(',') {
-            let Some((name, text)) = pair.split_once(':') else {
+            let Some((name, value)) = pair.split_once(':') else {
                 return self.error(field, "must be name:value pairs");
             };
-            let Ok(value) = text.parse::<f64>() else {
+            let Ok(value) = value.parse::<f64>() else {
                 return self.error(field, "values must be numbers");
             };
             settings::set_report_value(&mut report, name, value);
@@ -116,7 +124,7 @@
 }
 
 /// A row of a switch list. The zone is kept by name: its index depends on the settings of the instance that
-/// the list is given to.
+/// the list is given to, so the `zone_index` of `entry` is set only then.
 struct ListRow {
     entry: SwitchEntry,
     zone_name: String,
@@ -157,9 +165,9 @@
                 "COMMIT" => break,
                 "LEDGER" => {
                     let list_ref: u64 = message.parse("ref")?;
-                    let count: usize = message.parse("nodesList")?;
+                    let row_count: usize = message.parse("nodesList")?;
                     let mut rows = Vec::new();
-                    for _ in 0..count {
+                    for _ in 0..row_count {
                         if !read_line(&mut input, &mut line, &mut line_number)? {
                             return Err(AdapterError(format!(
                                 "line {line_number}: LEDGER: input ended before the last ROW"
@@ -217,7 +225,7 @@
     }
 }
 
-/// Reads the next line without its line ending; false at the end of input.
+/// Reads the next line without its line ending and counts it; false at the end of input.
 fn read_line(input: &mut impl BufRead, line: &mut String, line_number: &mut u64) -> AdapterResult<bool> {
     line.clear();
     *line_number += 1;
@@ -227,11 +235,12 @@
     }
     match String::from_utf8(bytes) {
         Ok(text) => line.push_str(text.trim_end_matches(['\n', '\r'])),
-        Err(_) => return Err(AdapterError(format!("line {line_number}: text: not valid UTF-8"))),
+        Err(_) => return Err(AdapterError(format!("line {line_number}: not valid UTF-8"))),
     }
     Ok(true)
 }
 
+/// Parses a row of a switch list. Fields that the controller does not use are only checked.
 fn parse_row(message: &mut Message) -> AdapterResult<ListRow> {
     if message.name != "ROW" {
         return message.error("name", "ROW expected");
@@ -252,8 +261,8 @@
     Ok(ListRow { entry: SwitchEntry { switch, zone_index: 0, exchange_number, health, up_since }, zone_name })
 }
 
-/// Index of the field's name in a list from the settings; `-`, `0` and an empty field are `None`.
-fn parse_name(message: &mut Message, field: &str, names: &[String]) -> AdapterResult<Option<usize>> {
+/// Index in `names` of the name in a field; `-`, `0` and an empty field are `None`.
+fn parse_name_index(message: &mut Message, field: &str, names: &[String]) -> AdapterResult<Option<usize>> {
     match message.text(field)? {
         "-" | "" | "0" => Ok(None),
         text => match names.iter().position(|name| name == text) {
@@ -263,6 +272,7 @@
     }
 }
 
+/// Parses the fields of an event. Those that the controller does not use are only checked.
 fn parse_event(
     message: &mut Message, names: &IndexedNames, switch_lists: &BTreeMap<u64, Vec<ListRow>>,
 ) -> AdapterResult<Event> {
@@ -292,10 +302,10 @@
         }
         "ORDER" => {
             let id = CallId(message.parse("rid")?);
-            let Some(class_index) = parse_name(message, "tierClass", &names.classes)? else {
+            let Some(class_index) = parse_name_index(message, "tierClass", &names.classes)? else {
                 return message.error("tierClass", "missing");
             };
-            let tenant_index = parse_name(message, "tenant", &names.tenants)?;
+            let tenant_index = parse_name_index(message, "tenant", &names.tenants)?;
             let called_number = message.text("object")?.to_string();
             let caller_deadline = message.seconds("giveUpAtS")?;
             message.parse_optional::<f64>("sizeHintS")?;
