--- a/src/net/feed.rs
+++ b/src/net/feed.rs
@@ -15,7 +15,9 @@
 const CONNECT_TIMEOUT: Micros = 1_000_000;
 /// The feed sends a line each second; a connection that has been silent for this long is replaced.
 const SILENCE_TIMEOUT: Micros = 2_500_000;
-/// Delay before the next attempt to connect.
+/// Delay before the next attempt to connect after an attempt has failed with an error, the connection was
+/// closed by the feed or failed on reading, or a malformed line was received. After all other ends of a
+/// connection, such as a time-out, the next attempt is made at once.
 const RECONNECT_DELAY: Micros = 200_000;
 
 /// An event of the feed: one of its lines, or one of the events in the configuration's `known`.
@@ -24,7 +26,7 @@
     /// Number of the event.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The update of the switch list; `None` if there is none.
+    /// The update of the switch list; `None` if the event does not change the list.
     #[serde(default, rename = "members")]
     pub list_update: Option<ListUpdate>,
 }
@@ -83,13 +85,15 @@
     }
 }
 
-/// The part of the configuration that contains the events up to the start of the program.
+/// The part of the configuration that contains earlier events of the feed, which are applied at the start of
+/// the program and, if they are new, on a reload.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct KnownEvents {
-    /// Number of the last event.
+    /// Number of the last event; at the start, the feed is asked for the events after it. It has no effect on
+    /// a reload.
     #[serde(default, rename = "n")]
     pub last_event_number: u64,
-    /// The events, which the feed has sent before the start.
+    /// The events, in the order of their numbers.
     #[serde(default)]
     pub events: Vec<FeedEvent>,
 }
@@ -101,11 +105,12 @@
     connection: Option<Connection>,
     /// The connection is established, and `SUB` has been put into its output buffer.
     subscribed: bool,
-    /// Number of the last event.
+    /// Number of the last known event; the feed is asked for the events after it.
     last_event_number: u64,
     /// When the connection times out or, if there is none, the next attempt is made.
     timer_deadline: Micros,
-    /// Events after this number were missing and have been requested by a new `SUB`, which is done only once.
+    /// Number of the last event before a gap, whose missing events have been requested by a new `SUB`. They
+    /// are requested only once; if they are still missing then, they are skipped.
     gap_after: Option<u64>,
     /// Most bytes of a line, which can hold a full list and thus be longer than a call's message. Also the
     /// limit on unsent output.
@@ -136,7 +141,7 @@
 }
 
 enum FeedLine {
-    /// The number of the last event, without the event.
+    /// The number of the last event, without the event: a bare number or a [`NumberOnly`].
     LastEventNumber(u64),
     Event(FeedEvent),
 }
@@ -223,7 +228,10 @@
     /// Closes the connection, if there is one, and sets the timer for the next attempt. All connections to
     /// the feed are closed here.
     pub(super) fn close_feed_connection(&mut self, reason: &str, reconnect_delay: Micros) {
-        log(&format!("control feed: {reason}; reconnecting after event {}", self.feed.last_event_number));
+        log(&format!(
+            "control feed: {reason}; reconnecting to request the events after number {}",
+            self.feed.last_event_number
+        ));
         if let Some(connection) = self.feed.connection.take() {
             connection.close(&self.feed.loop_handle);
         }
@@ -291,20 +299,20 @@
     /// Handles a line. Returns false if earlier events are missing and must be requested.
     fn handle_feed_line(&mut self, line: FeedLine) -> bool {
         let last_event_number = self.feed.last_event_number;
-        let gap_after = self.feed.gap_after;
+        let already_requested = self.feed.gap_after == Some(last_event_number);
         let event = match line {
             FeedLine::LastEventNumber(number) if number <= last_event_number => return true,
             FeedLine::LastEventNumber(_) => {
                 // After SUB the feed sends the later events before its first number line. So the event with
                 // this number should have come already.
                 self.feed.gap_after = Some(last_event_number);
-                return gap_after == Some(last_event_number);
+                return already_requested;
             }
             FeedLine::Event(event) if event.number <= last_event_number => return true,
             FeedLine::Event(event) => event,
         };
         let is_full = event.list_update.as_ref().is_some_and(|update| update.is_full);
-        if event.number > last_event_number + 1 && !is_full && gap_after != Some(last_event_number) {
+        if event.number > last_event_number + 1 && !is_full && !already_requested {
             self.feed.gap_after = Some(last_event_number);
             return false;
         }
@@ -321,7 +329,11 @@
             let entry = match ListEntry::deserialize(&value) {
                 Ok(entry) => entry,
                 Err(error) => {
-                    log(&format!("control feed: event {}: invalid entry skipped: {error}", event.number));
+                    let name = value.get("host").and_then(|host| host.as_str()).unwrap_or("without a name");
+                    log(&format!(
+                        "control feed: event {}: invalid entry skipped: switch {name}: {error}",
+                        event.number
+                    ));
                     continue;
                 }
             };
@@ -330,14 +342,9 @@
             let exchange_number = listed.exchange_number;
             let health = listed.health;
             let up_since = listed.up_since;
-            let switch = self.switches.get_or_assign_id(&listed.name, health);
-            switch_entries.extend(switch.map(|switch| SwitchEntry {
-                switch,
-                zone_index,
-                exchange_number,
-                health,
-                up_since,
-            }));
+            if let Some(switch) = self.switches.get_or_assign_id(&listed.name, health) {
+                switch_entries.push(SwitchEntry { switch, zone_index, exchange_number, health, up_since });
+            }
             listed_names.push(listed.name.clone());
             self.update_switch(listed);
         }
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -161,7 +161,11 @@
             self.output_buffer = Vec::new();
         }
         if self.output_buffer.len() > self.max_unsent_bytes {
-            return Err(io::Error::other("unsent data exceeds the limit: the peer does not read"));
+            return Err(io::Error::other(format!(
+                "{} unsent bytes exceed the limit of {}: the peer does not read",
+                self.output_buffer.len(),
+                self.max_unsent_bytes
+            )));
         }
         result
     }
--- a/src/net/switches.rs
+++ b/src/net/switches.rs
@@ -1,5 +1,6 @@
-//! The connections to the carrier switches: one to each switch, kept open and shared by all calls, on which
-//! messages are exchanged as JSON lines.
+//! The connections to the carrier switches, on which messages are exchanged as JSON lines. Each switch has
+//! one connection, which is kept open and shared by all calls. A second one is opened while the switch does
+//! not respond on the first, and may replace it.
 
 use super::lines::{self, Message};
 use super::link::{Connection, ReadStatus};
@@ -23,6 +24,7 @@
 const UNREACHABLE_TIMEOUT: Micros = 2_500_000;
 /// A switch that has calls and has sent nothing for this long is checked with a second connection. The old
 /// connections of a machine that is down or cut off stay open and silent, but no new one can be established.
+/// Also how long the gatekeeper, before it is ready, waits for the first message on an open connection.
 const SILENCE_TIMEOUT: Micros = 1_500_000;
 /// If nothing has been received on a connection for this long after a set-up was sent, the connection itself
 /// may have failed. A second one is opened, and replaces the first if the switch sends a message on it.
@@ -34,11 +36,15 @@
 /// No set-up is sent on an idle connection that its switch is expected to close within this time, or within a
 /// quarter of the idle time-out if that is shorter.
 const MAX_IDLE_CLOSE_MARGIN: Micros = 1_000_000;
+/// The result code in an `ECHO`.
+const PROBE_RESULT_CODE: u8 = 0;
+/// The result code in an `ECHOED` if the probe passed.
+const PROBE_PASSED_RESULT_CODE: u8 = 1;
 
 enum ConnectionState {
     /// There is no connection; the next attempt to connect is due at `reconnect_at`.
     Closed { reconnect_at: Micros },
-    /// A connection is being established; the attempt times out at `deadline`.
+    /// A connection is being established; the attempt to connect times out at `deadline`.
     Connecting { connection: Connection, deadline: Micros },
     /// A connection is established.
     Open(OpenConnection),
@@ -91,11 +97,12 @@
 pub struct ListedSwitch {
     /// Its name in the control feed.
     pub name: String,
-    /// The address on which it listens.
+    /// The address on which it listens. `None` if the control feed gives no valid one, or if another switch
+    /// has taken it over.
     pub address: Option<SocketAddr>,
     /// The number of the exchange that it serves.
     pub exchange_number: ExchangeNumber,
-    /// Its state.
+    /// Its state in the switch list.
     pub health: Health,
     /// When it last started, if known.
     pub up_since: Option<Micros>,
@@ -105,7 +112,7 @@
 struct QueuedSetUp {
     tag: Tag,
     message: Message,
-    /// When the attempt times out.
+    /// When the call's attempt at the switch times out.
     deadline: Micros,
 }
 
@@ -127,8 +134,9 @@
     candidate: Option<CandidateConnection>,
     /// The predecessor of the open connection.
     replaced: Option<ReplacedConnection>,
-    /// The switch has sent a message, normally the load report for its group of circuits, or it could not be
-    /// reached or was silent: the gatekeeper need not wait for it any longer before it is ready.
+    /// The switch has sent a message (the first one is expected to be the load report for its group of
+    /// circuits), could not be reached, or was silent for [`SILENCE_TIMEOUT`] on an open connection. Before
+    /// that, a switch in service keeps the gatekeeper from being ready.
     initial_state_known: bool,
 }
 
@@ -157,7 +165,7 @@
 }
 
 impl Switches {
-    /// Creates the state of the program's start, without any switch.
+    /// Creates the collection, which does not hold any switches yet.
     pub fn new(
         loop_handle: LoopHandle<'static, Gatekeeper>, connect_timeout: Micros, idle_timeout: Micros,
         own_exchange: ExchangeNumber, max_unsent_bytes: usize,
@@ -239,7 +247,10 @@
 
     /// Sends a probe to a switch. It is not sent if there is no open connection.
     pub fn probe(&mut self, id: SwitchId, tag: Tag) {
-        self.write_message(id, &Message { result_code: Some(0), ..Message::new("ECHO", tag) });
+        self.write_message(
+            id,
+            &Message { result_code: Some(PROBE_RESULT_CODE), ..Message::new("ECHO", tag) },
+        );
     }
 
     /// Sends the buffered output of the open connections. Returns the switches whose connections have failed.
@@ -269,21 +280,23 @@
             return;
         }
         let before = self.switches.by_id.get(&id).map(|switch| switch.listed.clone());
-        // A new switch may have taken over the address of another one while the list still names both. What
-        // is meant for the other one must not reach it.
+        // A switch may have taken over the address of another one while the list still names both. Messages
+        // for the other switch must not reach the one that now has the address.
         if before.as_ref().is_none_or(|before| before.address != listed.address) {
             let has_same_address =
                 |(_, s): &(&SwitchId, &Switch)| s.has_address() && s.listed.address == listed.address;
             let others = self.switches.by_id.iter().filter(|(other, _)| **other != id);
             let displaced: Vec<SwitchId> = others.filter(has_same_address).map(|(other, _)| *other).collect();
-            for other in displaced {
+            for other_id in displaced {
+                let other = self.switches.by_id.get(&other_id);
                 log(&format!(
-                    "switch {} has the address of another switch, which is taken to be gone",
-                    listed.name
+                    "switch {} has the address of switch {}, which is taken to be gone",
+                    listed.name,
+                    other.map_or("", |other| &other.listed.name)
                 ));
-                self.close_switch_connection(other);
-                self.call_control.handle_switch_down(now, other, now);
-                if let Some(other) = self.switches.by_id.get_mut(&other) {
+                self.close_switch_connection(other_id);
+                self.call_control.handle_switch_down(now, other_id, now);
+                if let Some(other) = self.switches.by_id.get_mut(&other_id) {
                     other.listed.address = None;
                 }
             }
@@ -325,14 +338,12 @@
         });
         if opened_before_restart || before.address != listed.address {
             self.close_switch_connection(id);
-        }
-        if opened_before_restart || before.address != listed.address {
             self.connect_switch(id);
         }
     }
 
-    /// Removes a switch that is gone for good. Its calls are over, its pending releases are dropped, and its
-    /// entry and its id are deleted: the number of switches that come and go has no limit.
+    /// Removes a switch that is gone for good: ends its calls, drops its pending releases, and deletes its
+    /// entry and its id, since the number of switches that come and go has no limit.
     fn remove_switch(&mut self, now: Micros, id: SwitchId, name: &str) {
         if self.switches.by_id.contains_key(&id) {
             log(&format!("switch {name} is Gone"));
@@ -351,7 +362,8 @@
         unlisted.into_iter().for_each(|(name, id)| self.remove_switch(now, id, &name));
     }
 
-    /// Sends a set-up, or queues it until the connection is established.
+    /// Sends a set-up, or queues it until the connection is established. The set-up fails at once if the
+    /// switch is not listed or has no address.
     pub(super) fn send_set_up(&mut self, id: SwitchId, tag: Tag, mut message: Message, deadline: Micros) {
         let now = self.clock.now();
         let Some(switch) = self.switches.by_id.get_mut(&id).filter(|switch| switch.has_address()) else {
@@ -360,9 +372,9 @@
         if let ConnectionState::Open(open) = &switch.state
             && is_idle_close_imminent(now - open.last_used_at, self.switches.idle_timeout)
         {
-            // If the switch closed the idle connection while the set-up is on its way, the set-up would be
-            // lost. Its attempt, which is the only one out at the switch, counts as sent at `now`, but has
-            // not been sent on any connection yet: the end of this connection must not end it.
+            // The set-up would be lost if the switch closed the idle connection while the set-up is on its
+            // way, so it is sent on a new connection. Its attempt already counts as sent at `now`. The end of
+            // the idle connection must not end that attempt, only those sent earlier.
             self.end_switch_connection(id, now, now - 1);
         }
         let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
@@ -370,7 +382,11 @@
             open.last_used_at = now;
             open.awaiting_response_since.get_or_insert(now);
             if !set_time_left(&mut message, deadline - now).encode(open.connection.output_buffer()) {
-                log(&format!("set-up {tag:016x} is not sent: it exceeds the size limit of a message"));
+                log(&format!(
+                    "set-up {tag:016x} is not sent to switch {}: it exceeds the size limit of {} bytes",
+                    switch.listed.name,
+                    lines::MAX_MESSAGE_BYTES
+                ));
                 let release = Release {
                     cause: cause::RESOURCE_UNAVAILABLE,
                     reason: EndReason::Unknown,
@@ -384,7 +400,8 @@
         self.connect_switch(id);
     }
 
-    /// Starts to connect to a switch, unless there is a connection or none can be made.
+    /// Starts to connect to a switch, unless a connection is open or being established or the switch has no
+    /// address.
     fn connect_switch(&mut self, id: SwitchId) {
         let now = self.clock.now();
         let deadline = now + self.switches.connect_timeout;
@@ -414,7 +431,7 @@
         let unreachable_since = *switch.unreachable_since.get_or_insert(now);
         let reconnect_at = now + switch.reconnect_delay;
         switch.reconnect_delay = (switch.reconnect_delay * 2).min(MAX_RECONNECT_DELAY);
-        self.close_switch_connection_until(id, reconnect_at);
+        self.close_switch_connection_and_reconnect_at(id, reconnect_at);
         if now - unreachable_since >= UNREACHABLE_TIMEOUT {
             self.call_control.handle_switch_down(now, id, now);
         }
@@ -437,29 +454,37 @@
         self.call_control.timers.push(switch.next_check_at, TimerEvent::SwitchConnection(id));
         // A switch that accepts connections and sends nothing must not keep the gatekeeper from being ready.
         switch.initial_state_known |= now >= open.opened_at + SILENCE_TIMEOUT;
-        let is_unresponsive =
-            open.awaiting_response_since.is_some_and(|since| now >= since + RESPONSE_TIMEOUT)
-                && switch.replaced.is_none();
+        let response_is_overdue =
+            open.awaiting_response_since.is_some_and(|since| now >= since + RESPONSE_TIMEOUT);
+        // Only one replaced connection is kept at a time.
+        let needs_replacement = response_is_overdue && switch.replaced.is_none();
         if !has_calls {
             switch.silent_since = now;
         }
-        if switch.replaced.as_ref().is_some_and(|replaced| {
-            now >= replaced.replaced_at + REPLACED_CONNECTION_RETENTION
-                || oldest_attempt_sent_at.is_none_or(|sent_at| sent_at >= replaced.replaced_at)
-        }) {
+        let replaced_is_obsolete = switch.replaced.as_ref().is_some_and(|replaced| {
+            let retention_expired = now >= replaced.replaced_at + REPLACED_CONNECTION_RETENTION;
+            let has_no_attempts =
+                oldest_attempt_sent_at.is_none_or(|sent_at| sent_at >= replaced.replaced_at);
+            retention_expired || has_no_attempts
+        });
+        if replaced_is_obsolete {
             self.close_replaced_connection(id);
         }
         let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
         let silent_for = now - switch.silent_since;
+        let is_silent = silent_for >= SILENCE_TIMEOUT;
         match &switch.candidate {
             Some(candidate) if !candidate.is_established && now < candidate.deadline => return,
-            Some(candidate) if candidate.first_message_delay.is_some() && is_unresponsive => {
+            Some(candidate) if candidate.first_message_delay.is_some() && needs_replacement => {
                 return self.replace_open_connection(id);
             }
-            Some(candidate) if candidate.is_established && silent_for < SILENCE_TIMEOUT => return,
-            None if !is_unresponsive && silent_for < SILENCE_TIMEOUT => return,
+            Some(candidate) if candidate.is_established && !is_silent => return,
+            None if !needs_replacement && !is_silent => return,
+            // A new candidate connection is opened below. The last one, if any, was not established in time,
+            // or the switch has been silent since then.
             _ => self.close_candidate_connection(id),
         }
+        // The silence would have ended if a candidate connection had been established in this time.
         if silent_for >= SILENCE_TIMEOUT + UNREACHABLE_TIMEOUT {
             return self.handle_silent_switch(id);
         }
@@ -493,16 +518,16 @@
             "switch {} is silent and no new connection to it can be established",
             switch.listed.name
         ));
-        // The time of the silence counts as time in which the switch was unreachable: the calls are not kept
-        // until attempts to connect have failed for the same time again.
+        // The switch counts as unreachable since the silence began, so that attempts to connect need not fail
+        // for another `UNREACHABLE_TIMEOUT` before its calls are released.
         switch.unreachable_since = Some(switch.silent_since);
-        self.close_switch_connection_until(id, now);
+        self.close_switch_connection_and_reconnect_at(id, now);
         self.call_control.handle_switch_down(now, id, now);
     }
 
     /// Puts the candidate connection in the place of an open connection on which nothing is received any more
-    /// although the switch is running. Without this, set-ups would be sent on a failed connection that stays
-    /// open, and never be answered.
+    /// although the switch is running. Set-ups sent on a failed connection that stays open would never be
+    /// answered.
     fn replace_open_connection(&mut self, id: SwitchId) {
         let now = self.clock.now();
         let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
@@ -582,23 +607,23 @@
         result.is_ok() && !matches!(input.status, ReadStatus::EndOfStream | ReadStatus::Failed)
     }
 
-    /// Closes all connections to a switch and ends its attempts, as [`Gatekeeper::end_switch_connection`]
-    /// does. The next attempt to connect is due at once.
+    /// Closes all connections to a switch and ends all attempts there. The next attempt to connect is due at
+    /// once.
     pub(super) fn close_switch_connection(&mut self, id: SwitchId) {
         let now = self.clock.now();
-        self.close_switch_connection_until(id, now);
+        self.close_switch_connection_and_reconnect_at(id, now);
     }
 
-    /// Closes all connections to a switch and ends its attempts, as [`Gatekeeper::end_switch_connection`]
-    /// does. The next attempt to connect is due at `reconnect_at`.
-    fn close_switch_connection_until(&mut self, id: SwitchId, reconnect_at: Micros) {
+    /// Closes all connections to a switch and ends all attempts there. The next attempt to connect is due at
+    /// `reconnect_at`.
+    fn close_switch_connection_and_reconnect_at(&mut self, id: SwitchId, reconnect_at: Micros) {
         let now = self.clock.now();
         self.end_switch_connection(id, reconnect_at, now);
     }
 
     /// Closes all connections to a switch. Ends the attempts that were sent on the open one at `sent_until`
-    /// or earlier, those sent on the replaced one, and those whose set-ups are queued. The main connection is
-    /// closed nowhere else.
+    /// or earlier, those sent on the replaced one, and those whose set-ups are queued. A connection that is
+    /// open or being established is closed nowhere else.
     fn end_switch_connection(&mut self, id: SwitchId, reconnect_at: Micros, sent_until: Micros) {
         let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
         match std::mem::replace(&mut switch.state, ConnectionState::Closed { reconnect_at }) {
@@ -654,7 +679,7 @@
         let result = messages.try_for_each(|message| self.handle_switch_message(now, id, message));
         if let Err(error) = result.and(input.decode_result) {
             log(&format!("switch {name} sent {error}: its connection is closed"));
-            return self.close_switch_connection_until(id, now + MIN_RECONNECT_DELAY);
+            return self.close_switch_connection_and_reconnect_at(id, now + MIN_RECONNECT_DELAY);
         }
         match input.status {
             ReadStatus::WouldBlock => {}
@@ -663,7 +688,7 @@
                 let closed_by_switch = input.status == ReadStatus::EndOfStream;
                 let outcome = if closed_by_switch { "was closed by the switch" } else { "failed" };
                 log(&format!("switch {name}: the connection {outcome}"));
-                self.close_switch_connection_until(id, now);
+                self.close_switch_connection_and_reconnect_at(id, now);
             }
         }
     }
@@ -720,9 +745,10 @@
                 self.switches.write_message(id, &Message::new("FINISHED", tag));
             }
             "ECHOED" => {
-                let passed = message.result_code == Some(1);
+                let passed = message.result_code == Some(PROBE_PASSED_RESULT_CODE);
                 self.call_control.handle_probe_result(now, tag, passed, message.load_report());
             }
+            // `PENDING`, `FINISHED` and unknown verbs need no action.
             _ => {}
         }
         Ok(())
@@ -746,7 +772,8 @@
 /// Returns true if a connection that has been idle for `idle_time` may be closed by its switch before a
 /// set-up sent now arrives there.
 fn is_idle_close_imminent(idle_time: Micros, idle_timeout: Micros) -> bool {
-    idle_time >= idle_timeout - (idle_timeout / 4).min(MAX_IDLE_CLOSE_MARGIN)
+    let margin = (idle_timeout / 4).min(MAX_IDLE_CLOSE_MARGIN);
+    idle_time >= idle_timeout - margin
 }
 
 /// Creates the release of an attempt or of an answered call.
--- a/src/net/switches/tests.rs
+++ b/src/net/switches/tests.rs
@@ -5,11 +5,13 @@
 #[test]
 fn idle_connections_are_replaced_shortly_before_the_switch_closes_them() {
     let second = 1_000_000;
-    let long = 600_000_000;
-    assert!(!is_idle_close_imminent(long - second - 1, long));
-    assert!(is_idle_close_imminent(long - second, long) && is_idle_close_imminent(long * 2, long));
-    let short = 2 * second;
-    assert!(!is_idle_close_imminent(second, short) && is_idle_close_imminent(short, short));
+    let long_timeout = 600 * second;
+    assert!(!is_idle_close_imminent(long_timeout - second - 1, long_timeout));
+    assert!(is_idle_close_imminent(long_timeout - second, long_timeout));
+    assert!(is_idle_close_imminent(long_timeout * 2, long_timeout));
+    let short_timeout = 2 * second;
+    assert!(!is_idle_close_imminent(second, short_timeout));
+    assert!(is_idle_close_imminent(short_timeout, short_timeout));
 }
 
 #[test]
