--- a/src/control.rs
+++ b/src/control.rs
@@ -5,11 +5,12 @@
 //! whose processor is the far processor. The pressure on a processor is 1 - d0/d: d is its present set-up
 //! delay and d0 its base delay, the delay without load.
 //!
-//! The usual path of a call: for each far processor, a PI loop on the pressure sets the share of new calls
-//! that are rejected before a set-up is sent (the reject ratio). While that share is above 0, admitted calls
-//! wait in a short queue (the hold), which a second PI loop drains. A call takes the direct group of circuits
-//! if it has room, else one tandem, chosen at random among those whose group has room beyond the trunk
-//! reservation. See docs/design.md for the source of the method and for the exceptions.
+//! The usual path of a call: for the own processor and for each far processor, a PI loop on the pressure sets
+//! the share of new calls that are rejected before a set-up is sent (the reject ratio). While that share is
+//! above 0, admitted calls wait in a short queue (the hold), which a second PI loop drains. A call takes the
+//! direct group of circuits if that group has room, else one tandem, chosen at random among those whose group
+//! has room beyond the trunk reservation. See docs/design.md for the source of the method and for the
+//! exceptions.
 
 use crate::interface::{
     Action, AttemptEnd, CallId, DeduplicationScope, EndReason, Event, ExchangeNumber, Health, LoadReport,
@@ -33,7 +34,7 @@
 /// Target of the pressure (CT, 0.8 or 0.9): at 0.7 a set-up may take 3.3 times the base delay before calls
 /// are rejected.
 const TARGET_PRESSURE: f64 = 0.7;
-/// Proportional and integral gain of the reject ratio (Kpc = Kic).
+/// Proportional gain of the reject ratio, and its integral gain per second (Kpc = Kic).
 const REJECT_RATIO_GAIN: f64 = 5.0;
 /// Upper limit of the reject ratio.
 const MAX_REJECT_RATIO: f64 = 0.9;
@@ -42,15 +43,17 @@
 const MAX_REJECT_RATIO_FALL_PER_S: f64 = 0.4;
 /// Time constant of the pressure filter (τc).
 const PRESSURE_TIME_CONSTANT_S: f64 = 0.1;
-/// Time over which the pressure decays to 0 when no new samples come.
-const PRESSURE_DECAY_TIME: Micros = 2 * SECOND;
-/// Number of the latest set-ups whose median delay is used.
-const MEDIAN_SAMPLES: usize = 10;
-/// The base delay (d0) is the lowest median delay within this time.
+/// Shortest time over which the unfiltered pressure decays to 0 when no new samples come; it is longer where
+/// samples are used for longer than `MIN_SAMPLE_LIFETIME`.
+const MIN_PRESSURE_DECAY_TIME: Micros = 2 * SECOND;
+/// Number of the latest set-ups of a processor that are used: a quantile of their delays is the processor's
+/// present delay.
+const MAX_SAMPLES: usize = 10;
+/// The base delay (d0) is the lowest present delay within this time.
 const BASE_DELAY_WINDOW: Micros = 60 * SECOND;
-/// Proportional gain of the hold's drain rate (Kpq).
+/// Proportional gain of the hold's drain rate (Kpq): calls per second for each held call above the target.
 const DRAIN_PROPORTIONAL_GAIN: f64 = 20.0;
-/// Integral gain of the hold's drain rate (Kiq).
+/// Integral gain of the hold's drain rate (Kiq), per second.
 const DRAIN_INTEGRAL_GAIN: f64 = 130.0;
 /// Target of the waiting time in the hold (T̄q).
 const HOLD_TARGET_WAIT_S: f64 = 0.05;
@@ -59,15 +62,16 @@
 
 // Parameters that the paper leaves open.
 
-/// Delay sample of a set-up that was not answered, or was released because of congestion.
+/// Delay sample of a set-up that was not answered, or was released because a processor was congested. Its
+/// product with `QUICK_ANSWER_FACTOR` does not overflow.
 const INFINITE_DELAY: Micros = Micros::MAX / 4;
 /// Shortest time for which a delay sample is used; with little traffic the time is longer.
 const MIN_SAMPLE_LIFETIME: Micros = 3 * SECOND;
 /// Longest time for which a delay sample is used.
 const MAX_SAMPLE_LIFETIME: Micros = 12 * SECOND;
-/// Samples that are needed to know a delay, where there is too little traffic for `MEDIAN_SAMPLES`. Where
-/// fewer calls than this come within the sample lifetime, that number is enough, but at least one.
-const REQUIRED_SAMPLES: usize = 3;
+/// Most samples that are needed to know a delay. Where fewer calls than this come within the sample lifetime,
+/// the number of those calls is enough, but at least one sample.
+const MAX_REQUIRED_SAMPLES: usize = 3;
 /// Quantile of the set-up delays that is used for far processors.
 const MEDIAN: f64 = 0.5;
 /// Quantile of the set-up delays to all far processors that is taken for the delay of the own processor. It
@@ -76,7 +80,7 @@
 /// A set-up without an answer is overdue after this multiple of the base delay.
 const OVERDUE_FACTOR: Micros = 2;
 /// Most overdue set-ups to one far processor that count as overdue at the own processor, so that no single
-/// far processor decides.
+/// far processor determines the pressure of the own processor.
 const MAX_OVERDUE_PER_SWITCH: usize = 2;
 /// How long the controller relies on what it last saw of a group of circuits between two other exchanges:
 /// that it had room, or was full.
@@ -87,7 +91,8 @@
 const MIN_RESERVED_CIRCUITS: f64 = 1.0;
 /// Trunk reservation: additional share of the group that is kept free when all direct calls are blocked.
 const MAX_RESERVED_SHARE: f64 = 0.5;
-/// Time constant of the blocking of direct calls, of traffic rates and of the value of the calls offered.
+/// Time constant of the rates of calls offered (by exchange, tenant and value), of direct calls blocked and
+/// of calls over tandems.
 const TRAFFIC_TIME_CONSTANT_S: f64 = 8.0;
 /// Time constant of the traffic offered to a processor while it is warm.
 const WARM_TRAFFIC_TIME_CONSTANT_S: f64 = 4.0 * TRAFFIC_TIME_CONSTANT_S;
@@ -96,18 +101,20 @@
 const TANDEM_SET_UP_FACTOR: f64 = 1.5;
 /// Attempts in a row without a response after which a processor is suspected to be down.
 const MISSED_RESPONSES_UNTIL_SUSPECTED: u32 = 2;
-/// First interval between trial calls to a suspected processor, as a share of the shortest set-up target.
-/// With a target of half a second, intervals of seconds would reject nearly all calls after a short silence.
+/// First interval between trial calls to a suspected processor, as a share of the shortest set-up target. A
+/// fixed interval of seconds would, with a target of half a second, lead to the rejection of nearly all calls
+/// after a short silence.
 const FIRST_TRIAL_INTERVAL_SHARE: f64 = 4.0 / 15.0;
 /// Longest interval between trial calls, as a share of the shortest set-up target.
 const MAX_TRIAL_INTERVAL_SHARE: f64 = 4.0 / 3.0;
-/// Share of the set-up target that an attempt may take over a tandem or where answers are quick, so that
-/// another attempt can follow within the target.
-const ATTEMPT_TARGET_SHARE: f64 = 0.5;
+/// Longest time-out of an attempt over a tandem, or to a processor that answers quickly, as a share of the
+/// set-up target, so that another attempt can follow within the target.
+const SHORT_TIMEOUT_TARGET_SHARE: f64 = 0.5;
 /// A processor answers quickly if this multiple of its delay is less than the time available.
 const QUICK_ANSWER_FACTOR: Micros = 4;
 /// Most by which a surge of traffic raises the calls allowed to a cold processor, as a multiple of its warm
-/// traffic. The calls that the processor originates itself are not part of that traffic and leave the margin.
+/// traffic. The processor also originates calls itself: they are part of its capacity but not of this
+/// traffic, which leaves the margin.
 const MAX_COLD_SURGE: f64 = 1.8;
 /// Back-off sent with a rejection, as a share of the set-up target, so that a redial can still meet the
 /// target of the first try.
@@ -119,11 +126,15 @@
 const REDIAL_WINDOW: Micros = 10 * SECOND;
 /// How long no calls are sent to a number whose lines were all busy.
 const MIN_BUSY_NUMBER_WAIT: Micros = SECOND;
-/// The time doubles each time that the number is found busy again, up to this.
+/// Longest wait for a busy number. The wait doubles each time that the number is found busy again.
 const MAX_BUSY_NUMBER_WAIT: Micros = 8 * SECOND;
 /// An unanswered call is ended this many batch intervals before its caller gives up, so that the rejection
 /// comes in time.
 const DEADLINE_MARGIN_BATCHES: Micros = 2;
+/// Mean time from a failure of the switch list to the next subscription.
+const RESUBSCRIBE_DELAY: Micros = SECOND;
+/// How long the state of a switch is kept after it has begun to drain or is gone.
+const LEAVING_SWITCH_RETENTION: Micros = BASE_DELAY_WINDOW;
 
 // Timer tokens: the kind in the lowest two bits, the call's id above them.
 const TIMER_KIND_BITS: u32 = 2;
@@ -138,8 +149,8 @@
 }
 
 /// Key of the group of circuits between two exchanges, the same for either order of its ends.
-fn group_key(a: ExchangeNumber, b: ExchangeNumber) -> (ExchangeNumber, ExchangeNumber) {
-    (a.min(b), a.max(b))
+fn group_key(one_end: ExchangeNumber, other_end: ExchangeNumber) -> (ExchangeNumber, ExchangeNumber) {
+    (one_end.min(other_end), one_end.max(other_end))
 }
 
 /// Weight that remains of an exponential average after `elapsed`.
@@ -180,7 +191,7 @@
     Established,
 }
 
-/// An attempt that was sent.
+/// When and where an attempt was sent.
 struct SentAttempt {
     sent_at: Micros,
     switch: SwitchId,
@@ -218,7 +229,7 @@
     cold_budget_at: Micros,
 }
 
-/// A set-up delay, or a median of them.
+/// A set-up delay, or a quantile of several.
 struct DelaySample {
     measured_at: Micros,
     delay: Micros,
@@ -229,13 +240,13 @@
 struct OverloadControl {
     /// The latest set-up delays.
     samples: VecDeque<DelaySample>,
-    /// A set-up has failed there since the last one that was answered.
-    last_set_up_failed: bool,
+    /// A set-up to this processor has failed since the last one that was answered.
+    failed_since_last_answer: bool,
     /// When a probe was last answered. Set-ups sent before then that stay unanswered were lost on the way.
     probe_answered_at: Micros,
-    /// Median delays of the last `BASE_DELAY_WINDOW` that are lower than all later ones, in rising order. The
-    /// first is the base delay.
-    median_delays: VecDeque<DelaySample>,
+    /// Present delays of the last `BASE_DELAY_WINDOW` that are lower than all later ones, in rising order.
+    /// The first is the base delay.
+    base_delay_candidates: VecDeque<DelaySample>,
     /// For how long a sample is used; depends on the traffic.
     sample_lifetime: Micros,
     /// How many samples are needed to know the delay; depends on the traffic.
@@ -248,6 +259,7 @@
     delay: Option<Micros>,
     /// When the last sample came or a set-up was last overdue.
     last_evidence_at: Micros,
+    /// The filtered pressure.
     pressure: f64,
     ratio_integral: f64,
     reject_ratio: f64,
@@ -261,9 +273,9 @@
 }
 
 impl OverloadControl {
-    /// The base delay d0: the lowest median of the last minute.
+    /// The base delay d0: the lowest present delay of the last `BASE_DELAY_WINDOW`.
     fn base_delay(&self) -> Option<Micros> {
-        self.median_delays.front().map(|median| median.delay)
+        self.base_delay_candidates.front().map(|candidate| candidate.delay)
     }
 
     /// The base delay, at most `max_base_delay`, which also stands in for a base delay that is not known.
@@ -278,24 +290,25 @@
 
     fn add_sample(&mut self, now: Micros, delay: Micros) {
         self.samples.push_back(DelaySample { measured_at: now, delay });
-        if self.samples.len() > MEDIAN_SAMPLES {
+        if self.samples.len() > MAX_SAMPLES {
             self.samples.pop_front();
         }
         self.last_evidence_at = now;
     }
 
-    /// The unfiltered pressure 1 - d0/d. The delay d is taken from the last ten set-ups, which include those
-    /// that are still unanswered and `overdue`.
+    /// Updates the present delay d and the base delay d0 and returns the unfiltered pressure 1 - d0/d; 0
+    /// while d is not known. `overdue` has the delay so far of each overdue set-up; these delays take the
+    /// place of the oldest samples.
     fn measure_pressure(
         &mut self, now: Micros, overdue: &[Micros], quantile: f64, max_base_delay: Micros,
     ) -> f64 {
         while self.samples.front().is_some_and(|sample| sample.measured_at + self.sample_lifetime < now) {
             self.samples.pop_front();
         }
-        let answered = MEDIAN_SAMPLES.saturating_sub(overdue.len()).min(self.samples.len());
-        let latest = self.samples.iter().rev().take(answered);
+        let samples_used = MAX_SAMPLES.saturating_sub(overdue.len()).min(self.samples.len());
+        let latest = self.samples.iter().rev().take(samples_used);
         let mut delays: Vec<Micros> = latest.map(|sample| sample.delay).collect();
-        delays.extend(overdue.iter().take(MEDIAN_SAMPLES));
+        delays.extend(overdue.iter().take(MAX_SAMPLES));
         delays.sort_unstable();
         let enough = delays.len() >= self.required_samples;
         self.delay = enough.then(|| delays[(delays.len() as f64 * quantile) as usize]);
@@ -303,14 +316,19 @@
             self.last_evidence_at = now;
         }
         let Some(delay) = self.delay else { return 0.0 };
-        if overdue.is_empty() && delays.len() > MEDIAN_SAMPLES / 2 {
-            while self.median_delays.back().is_some_and(|median| median.delay >= delay) {
-                self.median_delays.pop_back();
+        let enough_for_base_delay = overdue.is_empty() && delays.len() > MAX_SAMPLES / 2;
+        if enough_for_base_delay {
+            while self.base_delay_candidates.back().is_some_and(|candidate| candidate.delay >= delay) {
+                self.base_delay_candidates.pop_back();
             }
-            self.median_delays.push_back(DelaySample { measured_at: now, delay });
+            self.base_delay_candidates.push_back(DelaySample { measured_at: now, delay });
         }
-        while self.median_delays.front().is_some_and(|median| median.measured_at + BASE_DELAY_WINDOW < now) {
-            self.median_delays.pop_front();
+        while self
+            .base_delay_candidates
+            .front()
+            .is_some_and(|candidate| candidate.measured_at + BASE_DELAY_WINDOW < now)
+        {
+            self.base_delay_candidates.pop_front();
         }
         // The bound matters after a start during an outage: the processor has never answered quickly, and
         // without the bound the pressure would stay 0.
@@ -320,16 +338,19 @@
 
     /// Adapts the lifetime of samples and the number required to the traffic.
     fn adapt_to_traffic(&mut self, calls_per_s: f64) {
-        let lifetime = (REQUIRED_SAMPLES as f64 / calls_per_s.max(1e-3) * 1e6) as Micros;
+        // The lower limit of the rate avoids a division by zero.
+        let lifetime = (MAX_REQUIRED_SAMPLES as f64 / calls_per_s.max(1e-3) * 1e6) as Micros;
         self.sample_lifetime = lifetime.clamp(MIN_SAMPLE_LIFETIME, MAX_SAMPLE_LIFETIME);
         let expected_samples = (calls_per_s * self.sample_lifetime as f64 / 1e6).round() as usize;
-        self.required_samples = expected_samples.clamp(1, REQUIRED_SAMPLES);
+        self.required_samples = expected_samples.clamp(1, MAX_REQUIRED_SAMPLES);
     }
 
     /// One control period of both PI loops.
     fn run_control_period(&mut self, now: Micros, measured_pressure: f64) {
         let period_s = CONTROL_PERIOD as f64 / 1e6;
-        let decay_time = PRESSURE_DECAY_TIME.max(self.sample_lifetime * 2 / 3);
+        // With a sample lifetime of `MIN_SAMPLE_LIFETIME` this is `MIN_PRESSURE_DECAY_TIME`; a longer
+        // lifetime raises it in proportion.
+        let decay_time = MIN_PRESSURE_DECAY_TIME.max(self.sample_lifetime * 2 / 3);
         let weight_of = |time: Micros| (1.0 - (now - time) as f64 / decay_time as f64).clamp(0.0, 1.0);
         // A recent load report takes the place of the measured pressure.
         let report_is_recent = self.reported_at + decay_time / 2 > now && self.reported_at > 0;
@@ -341,21 +362,23 @@
         self.pressure +=
             (unfiltered - self.pressure) * (1.0 - decay_factor(CONTROL_PERIOD, PRESSURE_TIME_CONSTANT_S));
 
-        let error = self.pressure - TARGET_PRESSURE;
+        let pressure_error = self.pressure - TARGET_PRESSURE;
         // Anti-windup at both ends: the integral by itself stays within the range of the reject ratio.
-        self.ratio_integral =
-            (self.ratio_integral + REJECT_RATIO_GAIN * error * period_s).clamp(0.0, MAX_REJECT_RATIO);
-        let ratio = (REJECT_RATIO_GAIN * error + self.ratio_integral).clamp(0.0, MAX_REJECT_RATIO);
+        self.ratio_integral = (self.ratio_integral + REJECT_RATIO_GAIN * pressure_error * period_s)
+            .clamp(0.0, MAX_REJECT_RATIO);
+        let ratio = (REJECT_RATIO_GAIN * pressure_error + self.ratio_integral).clamp(0.0, MAX_REJECT_RATIO);
         self.reject_ratio = ratio.max(self.reject_ratio - MAX_REJECT_RATIO_FALL_PER_S * period_s);
 
         let held_calls = self.hold.len() as f64;
         let admitted_per_s = self.admitted_calls.read(now, HOLD_RATE_TIME_CONSTANT_S);
-        let error = held_calls - HOLD_TARGET_WAIT_S * admitted_per_s;
-        // At most one call leaves the hold in a control period.
+        let target_held_calls = HOLD_TARGET_WAIT_S * admitted_per_s;
+        let excess_calls = held_calls - target_held_calls;
+        // While calls are rejected, at most one call leaves the hold in a control period.
         let max_drain_per_s = 1.0 / period_s;
         self.drain_integral =
-            (self.drain_integral + DRAIN_INTEGRAL_GAIN * error * period_s).clamp(0.0, max_drain_per_s);
-        let drain_per_s = (DRAIN_PROPORTIONAL_GAIN * error + self.drain_integral).clamp(0.0, max_drain_per_s);
+            (self.drain_integral + DRAIN_INTEGRAL_GAIN * excess_calls * period_s).clamp(0.0, max_drain_per_s);
+        let drain_per_s =
+            (DRAIN_PROPORTIONAL_GAIN * excess_calls + self.drain_integral).clamp(0.0, max_drain_per_s);
         self.drain_credit = if held_calls > 0.0 { self.drain_credit + drain_per_s * period_s } else { 0.0 };
     }
 
@@ -381,7 +404,7 @@
     leaving_since: Option<Micros>,
     /// Free circuits of the group, where they were reported.
     free_circuits: Option<f64>,
-    /// Size of the group.
+    /// Circuits of the group; 0 until they are reported.
     group_size: f64,
     overload: OverloadControl,
     /// Attempts in progress, the oldest first.
@@ -432,7 +455,7 @@
 struct RemoteGroup {
     had_room: bool,
     valid_until: Micros,
-    /// For how long it was valid when last seen.
+    /// For how long the last observation is valid from when it was made.
     validity: Micros,
 }
 
@@ -472,7 +495,7 @@
     unsuccessful_numbers: BTreeMap<String, Micros>,
     /// Calls offered, by value in thousandths, the lowest first.
     offered_by_value: BTreeMap<i64, AverageRate>,
-    /// Calls of each tenant.
+    /// First tries of the calls of each tenant.
     tenant_calls: Vec<AverageRate>,
     /// Calls over a tandem that showed whether the second leg, from the tandem to the destination, had room.
     second_leg_attempts: AverageRate,
@@ -491,8 +514,8 @@
         }
         actions.push(Action::SetTimer { after: CONTROL_PERIOD, token: TIMER_TICK });
         let mut own_processor = OverloadControl::default();
-        // Every set-up passes the own processor. Its traffic is always taken to be high: the shortest
-        // lifetime of samples, and all the required ones.
+        // Every set-up passes the own processor. Its traffic is always taken to be high, for the shortest
+        // sample lifetime and the highest number of required samples.
         own_processor.adapt_to_traffic(1e3);
         let tenant_calls = settings.tenants.iter().map(|_| AverageRate::default()).collect();
         Controller {
@@ -549,7 +572,7 @@
         }
     }
 
-    /// A random number in [0, 1).
+    /// A random number in [0, 1) with 53 random bits, the precision of an `f64`.
     fn random_unit(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
@@ -568,7 +591,7 @@
     fn on_switch_list(&mut self, now: Micros, update: SwitchListUpdate, actions: &mut Vec<Action>) {
         let entries = match update {
             SwitchListUpdate::Failed => {
-                let after = self.with_jitter(SECOND);
+                let after = self.with_jitter(RESUBSCRIBE_DELAY);
                 return actions.push(Action::SetTimer { after, token: TIMER_RESUBSCRIBE });
             }
             SwitchListUpdate::Changes(entries) => entries,
@@ -633,10 +656,12 @@
         }
     }
 
-    /// Records a set-up delay. For the far processor it counts less the queueing delay of the own processor,
-    /// which all set-ups have, but no less than the base delay. For the own processor only the part beyond
-    /// the far processor's base delay counts: otherwise traffic that moves to more distant exchanges would
-    /// look like pressure on the own processor.
+    /// Records a set-up delay as a sample of the far processor and, unless it is infinite, of the own
+    /// processor. For the far processor, the queueing delay of the own processor, which all set-ups have, is
+    /// subtracted, but not so far that the sample falls below the far processor's base delay. For the own
+    /// processor, the sample is the delay in excess of the far processor's base delay, added to the same
+    /// `max_base_delay()` for all far processors: otherwise traffic that moves to more distant exchanges
+    /// would look like pressure on the own processor.
     fn record_set_up_delay(&mut self, now: Micros, id: SwitchId, delay: Micros) {
         let own_queueing_delay = self.own_processor.queueing_delay();
         let max_base_delay = self.max_base_delay();
@@ -646,7 +671,9 @@
                 self.own_processor.add_sample(now, max_base_delay + (delay - base_delay).max(0));
             }
             let least_delay = switch.overload.base_delay().unwrap_or(0).min(delay);
-            switch.overload.last_set_up_failed &= delay == INFINITE_DELAY;
+            if delay != INFINITE_DELAY {
+                switch.overload.failed_since_last_answer = false;
+            }
             switch.overload.add_sample(now, (delay - own_queueing_delay).max(least_delay));
         }
     }
@@ -695,9 +722,11 @@
     }
 
     /// Records whether a group of circuits between two other exchanges had room.
-    fn record_remote_group(&mut self, now: Micros, a: ExchangeNumber, b: ExchangeNumber, had_room: bool) {
-        let first_seen = RemoteGroup { had_room: true, valid_until: now, validity: 0 };
-        let group = self.remote_groups.entry(group_key(a, b)).or_insert(first_seen);
+    fn record_remote_group(
+        &mut self, now: Micros, one_end: ExchangeNumber, other_end: ExchangeNumber, had_room: bool,
+    ) {
+        let not_yet_seen = RemoteGroup { had_room: true, valid_until: now, validity: 0 };
+        let group = self.remote_groups.entry(group_key(one_end, other_end)).or_insert(not_yet_seen);
         let validity = if had_room || group.had_room {
             MIN_REMOTE_GROUP_VALIDITY
         } else {
@@ -707,9 +736,9 @@
     }
 
     /// Upper bound of the base delay, so that a base delay learned during an overload does not hide the
-    /// overload. It is chosen such that at the target pressure the delay is no longer than calls can bear:
-    /// the time until a set-up is first retransmitted, which turns waiting into more work, and a third of the
-    /// shortest set-up target.
+    /// overload. With this bound, the delay at the target pressure is at most a third of the shortest
+    /// set-up target, and at most the time until a set-up is first retransmitted: retransmissions of waiting
+    /// set-ups add to the load.
     fn max_base_delay(&self) -> Micros {
         let targets = self.settings.classes.iter().map(|class| class.set_up_target / 3);
         let third_of_target = targets.min().unwrap_or(INFINITE_DELAY);
@@ -730,13 +759,13 @@
             let overdue_after = OVERDUE_FACTOR * base_delay;
             let ages = switch.pending.iter().map(|attempt| now - attempt.sent_at.max(resumed_at));
             let most_counted = if switch.suspected { 0 } else { MAX_OVERDUE_PER_SWITCH };
-            let overdue = ages.clone().filter(|age| *age > overdue_after).take(most_counted);
-            overdue_at_own_processor.extend(overdue.map(|age| max_base_delay + age - base_delay));
+            let overdue_ages = ages.clone().filter(|age| *age > overdue_after).take(most_counted);
+            overdue_at_own_processor.extend(overdue_ages.map(|age| max_base_delay + age - base_delay));
             let far_delays = ages.map(|age| age - own_queueing_delay);
-            let overdue: Vec<Micros> = far_delays.filter(|delay| *delay > overdue_after).collect();
+            let overdue_at_switch: Vec<Micros> = far_delays.filter(|delay| *delay > overdue_after).collect();
             let exchange = &self.exchanges[&switch.entry.exchange_number];
             switch.overload.adapt_to_traffic(exchange.offered_calls.read(now, TRAFFIC_TIME_CONSTANT_S));
-            let pressure = switch.overload.measure_pressure(now, &overdue, MEDIAN, max_base_delay);
+            let pressure = switch.overload.measure_pressure(now, &overdue_at_switch, MEDIAN, max_base_delay);
             switch.overload.run_control_period(now, pressure);
             switch.overload.drain_hold(&mut drained);
         }
@@ -762,7 +791,8 @@
             self.unsuccessful_numbers.retain(|_, first_tried_at| *first_tried_at + REDIAL_WINDOW > now);
             self.remote_groups.retain(|_, group| group.valid_until + MAX_REMOTE_GROUP_VALIDITY > now);
             self.switches.retain(|_, switch| {
-                let left_long_ago = switch.leaving_since.is_some_and(|since| since + BASE_DELAY_WINDOW < now);
+                let left_long_ago =
+                    switch.leaving_since.is_some_and(|since| since + LEAVING_SWITCH_RETENTION < now);
                 !left_long_ago || !switch.pending.is_empty()
             });
         }
@@ -789,15 +819,14 @@
         let destination = request.destination;
         let via_exchange = request.via_exchange;
         let transit = request.transit;
-        let after =
-            (request.caller_deadline - DEADLINE_MARGIN_BATCHES * self.settings.min_batch_interval - now)
-                .max(0);
+        let end_at = request.caller_deadline - DEADLINE_MARGIN_BATCHES * self.settings.min_batch_interval;
+        let after = (end_at - now).max(0);
         actions.push(Action::SetTimer { after, token: timer_token(TIMER_DEADLINE, id) });
         let number_is_busy =
             self.busy_numbers.get(&request.called_number).is_some_and(|number| number.wait_until > now);
-        let earlier_try = self.unsuccessful_numbers.remove(&request.called_number);
-        let redial_of = earlier_try.filter(|tried_at| !transit && now < tried_at + REDIAL_WINDOW);
-        let first_tried_at = redial_of.unwrap_or(now);
+        let earlier_try_at = self.unsuccessful_numbers.remove(&request.called_number);
+        let recent_try_at = earlier_try_at.filter(|tried_at| !transit && now < tried_at + REDIAL_WINDOW);
+        let first_tried_at = recent_try_at.unwrap_or(now);
         let is_first_try = first_tried_at == now;
         let call = Call {
             request,
@@ -815,7 +844,8 @@
         }
         self.calls.insert(id, call);
         if transit {
-            // The call comes by this exchange because the group between its ends is full or does not exist.
+            // The call comes over this exchange because the group from its origin to its destination is full
+            // or does not exist.
             self.record_remote_group(now, via_exchange, destination, false);
             return self.route(now, id, actions);
         }
@@ -840,7 +870,8 @@
         let warm_time = if is_cold { 0 } else { now - exchange.warm_seconds.updated_at.max(self.started_at) };
         exchange.warm_calls.add(now, WARM_TRAFFIC_TIME_CONSTANT_S, warm_calls);
         exchange.warm_seconds.add(now, WARM_TRAFFIC_TIME_CONSTANT_S, warm_time as f64 / 1e6);
-        // The reject ratio of a suspected processor does not apply to trial calls: it has had no samples.
+        // The reject ratio of a suspected processor does not apply to trial calls: the processor has had no
+        // samples.
         let is_trial = switch.suspected && switch.is_trial_due(now);
         let own_ratio = self.own_processor.reject_ratio;
         let far_ratio = if is_trial { 0.0 } else { switch.overload.reject_ratio };
@@ -873,11 +904,12 @@
             let calls_per_s: f64 =
                 self.tenant_calls.iter().map(|rate| rate.read(now, TRAFFIC_TIME_CONSTANT_S)).sum();
             let quotas_per_s: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
-            // This gatekeeper's part of the quota: the tenant's share of all quotas, of the traffic here.
+            // The tenant's quota at this gatekeeper: the part of the traffic here that corresponds to the
+            // tenant's share of the sum of all quotas.
             let quota_per_s = calls_per_s * self.settings.tenants[tenant].quota_per_s / quotas_per_s;
             let tenant_per_s = self.tenant_calls[tenant].read(now, TRAFFIC_TIME_CONSTANT_S);
-            let within_quota = (quota_per_s / tenant_per_s).min(1.0);
-            value *= within_quota + (1.0 - within_quota) * self.settings.over_quota_value_factor;
+            let share_within_quota = (quota_per_s / tenant_per_s).min(1.0);
+            value *= share_within_quota + (1.0 - share_within_quota) * self.settings.over_quota_value_factor;
         }
         (value * 20.0).round() as i64 * 50
     }
@@ -895,6 +927,8 @@
         let to_reject_per_s = reject_ratio * offered_per_s(&|_| true);
         let lower_per_s = offered_per_s(&|offered_value| offered_value < value);
         let equal_per_s = offered_per_s(&|offered_value| offered_value == value);
+        // What remains to be rejected after all calls of lower value is spread over the calls of this value.
+        // The lower limit of their rate avoids a division by zero.
         let probability = (to_reject_per_s - lower_per_s) / equal_per_s.max(1e-9);
         self.random_unit() < probability
     }
@@ -925,9 +959,11 @@
         let class = &self.settings.classes[call.request.class_index];
         let time_to_target = call.first_tried_at + class.set_up_target - now;
         let time_left = if time_to_target > 0 { time_to_target } else { class.set_up_target };
-        let short_timeout = time_left.min((class.set_up_target as f64 * ATTEMPT_TARGET_SHARE) as Micros);
+        let short_timeout =
+            time_left.min((class.set_up_target as f64 * SHORT_TIMEOUT_TARGET_SHARE) as Micros);
         let direct = self.switch_serving(destination)?;
-        // A transit call uses its tandem's group and leaves the trunk reservation to direct calls.
+        // For a transit call this exchange is the tandem: the call leaves the reserved circuits of the group
+        // to direct calls.
         let reserved = if transit { self.reserved_circuits(now, direct) } else { 0.0 };
         if transit || self.free_circuits(direct) >= circuits {
             let leave_time_to_repeat = !transit && self.answers_quickly(direct, short_timeout);
@@ -962,8 +998,8 @@
         }
         // A call over a tandem loads three processors, in vain if the second leg is full. Tandems whose
         // second leg is not known to have room are used only if there are no others, and not while the own
-        // processor is overloaded. After the call's first attempt they are used with a probability that is
-        // the share of second legs that had room lately; one attempt with room is counted in advance.
+        // processor is overloaded. For a call's further attempts they are used with a probability that is the
+        // share of second legs that had room lately; one attempt with room is counted in advance.
         let attempts_per_s =
             self.second_leg_attempts.read(now, TRAFFIC_TIME_CONSTANT_S) + 1.0 / TRAFFIC_TIME_CONSTANT_S;
         let successes_per_s =
@@ -1047,10 +1083,11 @@
                 in_scope && now < first.sent_at + class.deduplication_window
             }
         };
-        // A cold processor and a suspected one get direct calls only, within the budget and as trials.
+        // A cold processor gets direct calls only, within its budget. A suspected processor gets direct calls
+        // only, as trial calls.
         let within_cold_budget =
             !switch.is_cold(now, &self.settings) || (is_direct && self.cold_budget(now, switch) >= 1.0);
-        let is_trusted = !switch.suspected || (is_direct && switch.is_trial_due(now));
+        let within_trial_limit = !switch.suspected || (is_direct && switch.is_trial_due(now));
         can_be_answered
             && is_released
             && is_unrouted
@@ -1060,7 +1097,7 @@
             && !is_own_exchange
             && may_be_repeated
             && within_cold_budget
-            && is_trusted
+            && within_trial_limit
     }
 
     /// Calls that this gatekeeper may now send to a cold processor. The gatekeepers do not coordinate: each
@@ -1069,9 +1106,9 @@
     fn cold_budget(&self, now: Micros, switch: &Switch) -> f64 {
         let exchange = &self.exchanges[&switch.entry.exchange_number];
         let age = (now - switch.entry.up_since.unwrap_or(now)).max(0) as f64;
-        let warmth = (age / self.settings.warm_up_time.max(1) as f64).min(1.0);
+        let warm_up_progress = (age / self.settings.warm_up_time.max(1) as f64).min(1.0);
         let cold_share = self.settings.cold_capacity_share;
-        let capacity_share = cold_share + (1.0 - cold_share) * warmth * warmth;
+        let capacity_share = cold_share + (1.0 - cold_share) * warm_up_progress * warm_up_progress;
         let offered_per_s = exchange.offered_calls.read(now, TRAFFIC_TIME_CONSTANT_S);
         // The traffic is averaged over warm time alone, so that it does not fade where processors are
         // replaced one after the other and are hardly ever warm.
@@ -1138,14 +1175,14 @@
         self.remove_pending(id, switch);
         self.on_response(switch, actions);
         self.last_answered_at = now;
-        // The answer to a set-up sent before a stall and handled right after it may have waited for this
-        // process: its delay proves nothing.
+        // Where the set-up was sent before a stall and the answer is handled right after it, the answer may
+        // have waited for this process: the measured delay proves nothing.
         if sent_at >= self.resumed_at || now > self.resumed_at {
             self.record_set_up_delay(now, switch, direct_set_up_delay.max(1));
         }
     }
 
-    /// An attempt is no longer in progress.
+    /// Removes the attempt of a call from those in progress at a switch.
     fn remove_pending(&mut self, id: CallId, switch: SwitchId) {
         let remove = |switch: &mut Switch| switch.pending.retain(|attempt| attempt.call != id);
         self.switches.entry(switch).and_modify(remove);
@@ -1206,6 +1243,7 @@
                 attempt_again =
                     tandem || outcome == Outcome::Reset || self.answers_quickly(switch, time_to_target);
             }
+            // The group is taken for full until its free circuits are reported again.
             (Outcome::NotSent, reason) if !matches!(reason, EndReason::ProcessorCongested(_)) => {
                 self.switches.entry(switch).and_modify(|s| s.free_circuits = Some(0.0));
                 attempt_again = true;
@@ -1231,12 +1269,12 @@
                 self.busy_numbers.insert(called_number, BusyNumber { wait_until: now + wait, wait });
                 number_is_busy = true;
             }
-            // Some processors fail most set-ups at once. Where answers are quick, another attempt costs
-            // little; a single failure may be due to the call itself.
+            // A processor may fail most set-ups immediately. Where answers are quick, another attempt costs
+            // little. After a single failure no attempt follows: that failure may be due to the call itself.
             (Outcome::Failed, _) => {
                 attempt_again = self.answers_quickly(switch, time_to_target)
-                    && self.switches[&switch].overload.last_set_up_failed;
-                self.switches.entry(switch).and_modify(|s| s.overload.last_set_up_failed = true);
+                    && self.switches[&switch].overload.failed_since_last_answer;
+                self.switches.entry(switch).and_modify(|s| s.overload.failed_since_last_answer = true);
             }
             // The call ended or was cancelled, or the own processor is down.
             _ => {}
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -3,12 +3,15 @@
 use super::*;
 
 const NOW: Micros = 100 * SECOND;
+/// Part of the distance to the unfiltered pressure that the filter moves in a control period of 0.02 s with a
+/// time constant of 0.1 s: 1 - exp(-0.2).
+const FILTER_STEP: f64 = 0.181_269_246_9;
 
 fn assert_close(actual: f64, expected: f64) {
     assert!((actual - expected).abs() < 1e-6, "{actual} is not {expected}");
 }
 
-/// An overload control with enough traffic for the shortest lifetime of samples and all the required ones.
+/// An overload control with enough traffic for the shortest sample lifetime and all `MAX_REQUIRED_SAMPLES`.
 fn with_traffic() -> OverloadControl {
     let mut control = OverloadControl::default();
     control.adapt_to_traffic(10.0);
@@ -55,8 +58,8 @@
 fn the_pressure_filter_and_one_period_of_the_reject_ratio_match_the_formulas() {
     let mut control = OverloadControl { last_evidence_at: NOW, pressure: 0.9, ..OverloadControl::default() };
     control.run_control_period(NOW, 1.0);
-    // The filter moves the pressure by 1 - e^-0.2 of its distance; the ratio is 5 e + 5 e 0.02.
-    let pressure = 0.9 + 0.1 * 0.181_269_246_9;
+    // The unfiltered pressure is 1.0. The reject ratio is 5 x error + 5 x error x 0.02.
+    let pressure = 0.9 + 0.1 * FILTER_STEP;
     assert_close(control.pressure, pressure);
     let error = pressure - TARGET_PRESSURE;
     assert_close(control.ratio_integral, 5.0 * error * 0.02);
@@ -86,7 +89,7 @@
     control.run_control_period(NOW + SECOND, 1.0);
     assert_close(control.pressure, 0.5);
     control.run_control_period(NOW + 2 * SECOND, 1.0);
-    assert_close(control.pressure, 0.5 - 0.5 * 0.181_269_246_9);
+    assert_close(control.pressure, 0.5 - 0.5 * FILTER_STEP);
 }
 
 #[test]
@@ -94,8 +97,8 @@
     let mut control = OverloadControl::default();
     control.hold.push_back(CallId(1));
     control.run_control_period(NOW, 0.0);
-    // With no calls admitted lately e = 1: the integral is 130 x 0.02 = 2.6, and the drain rate of 22.6 per
-    // second is 0.452 calls in a period.
+    // With no calls admitted lately, the held call is one above the target: the integral is 130 x 0.02 = 2.6,
+    // and the drain rate of 20 + 2.6 per second is 0.452 calls in a period.
     assert_close(control.drain_integral, 2.6);
     assert_close(control.drain_credit, 0.452);
     control.reject_ratio = 0.5;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -64,7 +64,9 @@
     pub quota_per_s: f64,
 }
 
-/// Settings of the deployment, passed to the controller at its start.
+/// Settings of the deployment, passed to the controller at its start. The controller does not use
+/// `gatekeeper_count`, `list_known_after`, `may_probe`, `probe_cost`, `drain_grace` and
+/// `load_reports_enabled`.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The gatekeeper's own exchange; -1 where there is none (pool topology).
@@ -102,7 +104,7 @@
     pub may_send_back_off: bool,
     /// Longest back-off that callers comply with.
     pub max_back_off: Micros,
-    /// How long after it starts to drain an exchange may still be sent new calls.
+    /// How long an exchange may still be sent new calls after it has begun to drain.
     pub drain_grace: Micros,
     /// Share of its capacity that a cold processor starts with.
     pub cold_capacity_share: f64,
@@ -150,14 +152,15 @@
     Full(Vec<SwitchEntry>),
     /// The changed entries only.
     Changes(Vec<SwitchEntry>),
-    /// A query to discovery failed or the subscription broke.
+    /// A query for the switch list failed, or the subscription to its updates broke.
     Failed,
 }
 
-/// Load of a processor and of the group of circuits towards it; values that were not reported are `None`.
+/// Load of a processor and of the group of circuits towards it; values that were not reported are `None`. The
+/// controller uses `free_circuits`, `group_size`, `wait_us` and `requested_reduction`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Free circuits of the own group, or free agents of the pool.
+    /// Free circuits of the group towards the processor, or free agents of the pool.
     pub free_circuits: Option<f64>,
     /// Size of that group or pool.
     pub group_size: Option<f64>,
@@ -169,7 +172,7 @@
     pub utilization: Option<f64>,
     /// Waiting time at the processor, in microseconds.
     pub wait_us: Option<f64>,
-    /// Set-ups per second that it can take from all senders together.
+    /// Set-ups per second that the processor can take from all senders together.
     pub max_set_ups_per_s: Option<f64>,
     /// Share of its set-ups by which each sender is asked to reduce its traffic.
     pub requested_reduction: Option<f64>,
@@ -192,7 +195,7 @@
     Reset,
     /// Cancelled, or released by the caller.
     Cancelled,
-    /// The set-up was never sent.
+    /// The set-up was never sent, or the switch released it with cause 102 (timer expiry).
     NotSent,
 }
 
