--- a/src/net/binary.rs
+++ b/src/net/binary.rs
@@ -20,7 +20,8 @@
 
 /// Message types.
 pub mod message_type {
-    /// Set-up of a call; may carry a session description.
+    /// Set-up of a call; carries a class, the caller's time-out, the called number and routing attributes.
+    /// May carry a redial mark and a session description.
     pub const SET_UP: u8 = 1;
     /// Progress of a set-up; carries no information and is ignored on receipt.
     pub const PROGRESS: u8 = 6;
@@ -46,7 +47,7 @@
     pub const REDIAL: u8 = 186;
     /// Number called.
     pub const CALLED_NUMBER: u8 = 188;
-    /// Routing attributes of a set-up as text, such as `dest:1;width:2`.
+    /// Routing attributes of a set-up as text, such as `dest:1;width:2` for two circuits to exchange 1.
     pub const ROUTING: u8 = 190;
     /// Back-off that the caller is asked to keep, in milliseconds, as decimal text.
     pub const BACK_OFF: u8 = 192;
@@ -127,13 +128,13 @@
 
 /// Removes a big-endian integer of `size` bytes from the front of `bytes`.
 fn take_integer(bytes: &mut &[u8], size: usize) -> Option<u64> {
-    Some(take_bytes(bytes, size)?.iter().fold(0, |sum, b| sum << 8 | u64::from(*b)))
+    Some(take_bytes(bytes, size)?.iter().fold(0, |value, byte| value << 8 | u64::from(*byte)))
 }
 
 /// Decodes the first message in `bytes`. Returns it with its encoded size, or `None` if it is incomplete.
 ///
 /// # Errors
-/// Describes what is malformed; nothing that follows can be decoded.
+/// Names what is malformed, in words that can follow "it sent"; nothing after it can be decoded.
 pub fn decode(mut bytes: &[u8]) -> Result<Option<(Message, usize)>, &'static str> {
     let Some(length) = take_integer(&mut bytes, LENGTH_FIELD_BYTES).map(|length| length as usize) else {
         return Ok(None);
--- a/src/net/binary/tests.rs
+++ b/src/net/binary/tests.rs
@@ -2,6 +2,10 @@
 
 use super::*;
 
+/// Size of an encoded message with one parameter, without the value: the message's length, type and tag, and
+/// the parameter's code and length.
+const ONE_PARAMETER_OVERHEAD_BYTES: usize = 2 + 1 + 8 + 1 + 2;
+
 #[test]
 fn incomplete_messages_are_not_decoded_and_complete_ones_round_trip() {
     let message = Message::new(message_type::SET_UP, 0x9b1f_03aa_5c7e_2d41)
@@ -12,21 +16,27 @@
     for length in 0..bytes.len() {
         assert_eq!(decode(&bytes[..length]), Ok(None), "{length} bytes");
     }
-    bytes.push(7);
+    let first_byte_of_next_message = 7;
+    bytes.push(first_byte_of_next_message);
     assert_eq!(decode(&bytes), Ok(Some((message, bytes.len() - 1))));
 }
 
 #[test]
 fn messages_up_to_the_size_limit_are_accepted_and_larger_ones_are_not() {
+    let message_with_value_size = |size: usize| {
+        Message::new(message_type::SET_UP, 2)
+            .with_parameter(parameter_code::SESSION_DESCRIPTION, vec![b'x'; size])
+    };
+    let largest_value_size = MAX_MESSAGE_BYTES - ONE_PARAMETER_OVERHEAD_BYTES;
     let mut bytes = Vec::new();
-    let largest = Message::new(1, 2).with_parameter(210, vec![b'x'; MAX_MESSAGE_BYTES - 14]);
+    let largest = message_with_value_size(largest_value_size);
     assert!(largest.encode(&mut bytes));
     assert_eq!(bytes.len(), MAX_MESSAGE_BYTES);
     assert!(matches!(decode(&bytes), Ok(Some((_, MAX_MESSAGE_BYTES)))));
-    let oversized = Message::new(1, 2).with_parameter(210, vec![b'x'; MAX_MESSAGE_BYTES - 13]);
+    let oversized = message_with_value_size(largest_value_size + 1);
     assert!(!oversized.encode(&mut bytes));
     assert_eq!(bytes.len(), MAX_MESSAGE_BYTES, "nothing was appended");
-    assert!(decode(&[0x40, 0]).is_err());
+    assert!(decode(&[0x40, 0]).is_err(), "16,384 bytes after the length field");
 }
 
 #[test]
--- a/src/net/callers.rs
+++ b/src/net/callers.rs
@@ -12,7 +12,7 @@
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Most releases that wait for a caller to connect.
+/// Most releases that wait for a caller to connect; further ones are dropped.
 const MAX_PENDING_RELEASES: usize = 65_536;
 /// Most connections that are accepted in one iteration of the event loop. In a flood of connections, those
 /// already accepted are read, and the unused ones recognised, before more are accepted.
@@ -33,20 +33,21 @@
 /// A connection that releases more unknown calls than this is closed. After a restart of the gatekeeper, all
 /// calls that were set up before it are unknown.
 const MAX_UNKNOWN_RELEASES: u32 = 1024;
-/// Most unanswered calls on a connection on which no call has been answered yet. Only a caller that sends
-/// without reading the replies exceeds it.
-const MAX_SET_UPS_BEFORE_FIRST_ANSWER: usize = 128;
+/// Most unanswered calls on a connection on which no call has been answered yet; further set-ups are
+/// rejected. Only a caller that sends without reading the replies exceeds the limit.
+const MAX_UNANSWERED_BEFORE_FIRST_ANSWER: usize = 128;
 /// Longest called number that a set-up may have.
 const MAX_CALLED_NUMBER_BYTES: usize = 64;
-/// Largest absolute value of an integer among the routing attributes of a set-up.
+/// Largest absolute value of an integer among the routing attributes of a set-up. A set-up with a larger one
+/// is invalid.
 const MAX_ROUTING_INTEGER: f64 = 1e9;
 
 /// How far a connection is known to belong to a working caller, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum TrustLevel {
-    /// It has brought nothing that shows a working caller.
+    /// Nothing received on it shows a working caller.
     Unknown,
-    /// It has brought a set-up that was accepted, or a health check.
+    /// A set-up that was accepted, or a health check, has been received on it.
     ValidMessage,
     /// A call that was set up on it has been answered.
     AnsweredCall,
@@ -149,15 +150,19 @@
                 };
                 self.connections.insert(id, caller);
             }
-            Err(error) => log(&format!("cannot set up a caller's connection: {error}")),
+            Err(error) => {
+                log(&format!(
+                    "a caller's connection is closed: its socket cannot be prepared for use: {error}"
+                ));
+            }
         }
     }
 
     /// The connection to close in favour of a new one: of those without an unanswered call and with the
     /// lowest trust level, the one that has been inactive for longest.
     fn eviction_candidate(&self, unanswered: &BTreeMap<ConnectionId, usize>) -> Option<ConnectionId> {
-        let idle = self.connections.iter().filter(|(id, _)| !unanswered.contains_key(id));
-        idle.min_by_key(|(_, caller)| (caller.trust, caller.last_active_at)).map(|(id, _)| *id)
+        let evictable = self.connections.iter().filter(|(id, _)| !unanswered.contains_key(id));
+        evictable.min_by_key(|(_, caller)| (caller.trust, caller.last_active_at)).map(|(id, _)| *id)
     }
 
     /// The connections to close because a time-out has expired, and the reasons.
@@ -191,7 +196,10 @@
         if let Some(caller) = self.connections.get_mut(&id)
             && !message.encode(caller.connection.output_buffer())
         {
-            log(&format!("message of type {} exceeds the size limit; not sent", message.message_type));
+            log(&format!(
+                "message of type {} with tag {:016x} is not sent to its caller: it exceeds the size limit",
+                message.message_type, message.tag
+            ));
         }
     }
 
@@ -213,22 +221,26 @@
         let mut reject =
             Message::new(message_type::RELEASE, tag).with_parameter(parameter_code::CAUSE, [cause]);
         if back_off > 0 {
-            reject = reject.with_parameter(parameter_code::BACK_OFF, (back_off / 1000).max(1).to_string());
+            let back_off_ms = (back_off / 1000).max(1);
+            reject = reject.with_parameter(parameter_code::BACK_OFF, back_off_ms.to_string());
         }
         self.write_message(id, &reject);
     }
 
-    /// Releases an answered call towards its caller: on the connection of its set-up if that is open,
-    /// otherwise on another one at [`TrustLevel::ValidMessage`] or higher, otherwise as soon as there is a
-    /// suitable connection.
+    /// Releases an answered call towards its caller: on the connection of its set-up if that is open and not
+    /// half-closed, otherwise on another one at [`TrustLevel::ValidMessage`] or higher, otherwise as soon as
+    /// there is a suitable connection.
     pub fn release(&mut self, now: Micros, id: Option<ConnectionId>, tag: Tag, cause: u8) {
-        let is_open = |id: &ConnectionId| self.connections.get(id).is_some_and(|caller| !caller.half_closed);
-        match id.filter(is_open).or_else(|| self.best_connection(TrustLevel::ValidMessage)) {
+        let is_fully_open =
+            |id: &ConnectionId| self.connections.get(id).is_some_and(|caller| !caller.half_closed);
+        match id.filter(is_fully_open).or_else(|| self.best_connection(TrustLevel::ValidMessage)) {
             Some(id) => self.send_release(id, tag, cause),
             None if self.pending_releases.len() < MAX_PENDING_RELEASES => {
                 self.pending_releases.push_back(PendingRelease { tag, cause, waiting_since: now });
             }
-            None => log("too many releases are waiting for a caller to connect; release dropped"),
+            None => log(&format!(
+                "release of call {tag:016x} dropped: {MAX_PENDING_RELEASES} others wait for a caller to connect"
+            )),
         }
     }
 
@@ -239,12 +251,13 @@
         );
     }
 
-    /// The open connection that is most likely to have a working caller at its other end: the one with the
-    /// highest trust level, at least `min_trust`, and of these the one that was active last.
+    /// The connection that is most likely to have a working caller at its other end: of those that are not
+    /// half-closed, the one with the highest trust level, at least `min_trust`. If several have this level,
+    /// the one of them that was active last.
     fn best_connection(&self, min_trust: TrustLevel) -> Option<ConnectionId> {
-        let open =
+        let suitable =
             self.connections.iter().filter(|(_, caller)| !caller.half_closed && caller.trust >= min_trust);
-        open.max_by_key(|(_, caller)| (caller.trust, caller.last_active_at)).map(|(id, _)| *id)
+        suitable.max_by_key(|(_, caller)| (caller.trust, caller.last_active_at)).map(|(id, _)| *id)
     }
 
     /// Sends the pending releases, oldest first, until there is no suitable connection for one.
@@ -283,19 +296,19 @@
     }
 
     /// Sends as much output as the sockets accept. Returns the connections to close: those that have failed,
-    /// and half-closed ones with nothing left to send.
+    /// and half-closed ones without an unanswered call whose output has all been sent.
     pub fn flush(&mut self, has_unanswered_call: impl Fn(ConnectionId) -> bool) -> Vec<ConnectionId> {
         let mut to_close = Vec::new();
         for (id, caller) in &mut self.connections {
             let failed = match caller.connection.flush() {
                 Ok(()) => false,
                 Err(error) => {
-                    log(&format!("a caller's connection failed: {error}"));
+                    log(&format!("a caller's connection is closed: sending on it failed: {error}"));
                     true
                 }
             };
-            let ended = caller.half_closed && caller.connection.is_flushed();
-            if failed || (ended && !has_unanswered_call(*id)) {
+            let finished = caller.half_closed && caller.connection.is_flushed() && !has_unanswered_call(*id);
+            if failed || finished {
                 to_close.push(*id);
             }
         }
@@ -325,8 +338,13 @@
                         // connections that are open but unused would keep callers out.
                         let unanswered = self.call_control.unanswered_by_connection();
                         match self.callers.eviction_candidate(&unanswered) {
-                            Some(id) => self
-                                .close_caller_connection_with_reason(id, "a new connection needs its place"),
+                            Some(id) => {
+                                let reason = format!(
+                                    "a new one came at the limit of {}, set by limits.sockets",
+                                    self.callers.max_connections
+                                );
+                                self.close_caller_connection_with_reason(id, &reason);
+                            }
                             // The new connection is closed, since all others have unanswered calls.
                             None => continue,
                         }
@@ -382,23 +400,28 @@
         let now = self.clock.now();
         let Some(caller) = self.callers.connections.get_mut(&id) else { return };
         if caller.half_closed {
-            // There is no more input; only a reset of the connection can still be reported.
+            // There is no more input, and `Callers::flush` sends the output. Only a failure of the
+            // connection, such as a reset by the caller, has to be handled.
             if !matches!(caller.connection.check_connected(), Ok(true)) {
                 self.close_caller_connection(id);
             }
             return;
         }
         let read_status = caller.connection.read();
-        let (messages, result) = caller.connection.decode_messages(binary::decode);
-        // The time-out of an incomplete message starts again whenever a complete one precedes it.
-        let incomplete_since = caller.incomplete_since.filter(|_| messages.is_empty()).or(Some(now));
-        caller.incomplete_since = incomplete_since.filter(|_| !caller.connection.input_buffer.is_empty());
+        let (messages, decode_result) = caller.connection.decode_messages(binary::decode);
+        let has_incomplete_message = !caller.connection.input_buffer.is_empty();
+        caller.incomplete_since = match caller.incomplete_since {
+            _ if !has_incomplete_message => None,
+            Some(since) if messages.is_empty() => Some(since),
+            // The time-out starts again after a complete message: what is left is the start of another one.
+            _ => Some(now),
+        };
         for message in messages {
             if !self.handle_caller_message(id, message) {
                 return;
             }
         }
-        if let Err(error) = result {
+        if let Err(error) = decode_result {
             return self.close_caller_connection_with_reason(id, &format!("it sent {error}"));
         }
         match read_status {
@@ -408,7 +431,7 @@
             ReadStatus::Failed => self.close_caller_connection(id),
             ReadStatus::EndOfStream => match self.call_control.unanswered_call(id) {
                 // The caller may have shut down only its sending side and still wait for the answer. If it
-                // has closed the whole connection, its host answers this message, which carries no
+                // has closed the whole connection, its host answers the progress message, which carries no
                 // information, with a reset.
                 Some(tag) => {
                     self.callers.write_message(id, &Message::new(message_type::PROGRESS, tag));
@@ -436,14 +459,15 @@
                     // since the call may be up at any one.
                     caller.unknown_releases += 1;
                     if caller.unknown_releases > MAX_UNKNOWN_RELEASES {
-                        self.close_caller_connection_with_reason(id, "it released too many unknown calls");
+                        let reason = format!("it released more than {MAX_UNKNOWN_RELEASES} unknown calls");
+                        self.close_caller_connection_with_reason(id, &reason);
                         return false;
                     }
                 }
             }
             message_type::HEALTH_CHECK => {
                 // The health checks that wait until the gatekeeper is ready are bounded by the limit on
-                // connections.
+                // connections. Those beyond it are not answered.
                 if self.callers.pending_health_checks.len() < self.callers.max_connections {
                     self.callers.pending_health_checks.push(HealthCheck { connection_id: id, tag });
                 }
@@ -453,7 +477,11 @@
             // A working caller may use message types of a later version of the protocol.
             _ if trust == TrustLevel::AnsweredCall => {}
             _ => {
-                self.close_caller_connection_with_reason(id, "it sent a message that no caller sends");
+                let reason = format!(
+                    "it sent a message of type {} with tag {tag:016x}, which no caller sends",
+                    message.message_type
+                );
+                self.close_caller_connection_with_reason(id, &reason);
                 return false;
             }
         }
@@ -466,15 +494,13 @@
     ) -> bool {
         let tag = message.tag;
         let no_answered_call = trust != TrustLevel::AnsweredCall;
-        let result = match parse_set_up(message) {
-            Some(_)
-                if no_answered_call
-                    && self
-                        .call_control
-                        .unanswered_by_connection()
-                        .get(&id)
-                        .is_some_and(|count| *count >= MAX_SET_UPS_BEFORE_FIRST_ANSWER) =>
-            {
+        let parsed = parse_set_up(message);
+        let limit_reached = parsed.is_some() && no_answered_call && {
+            let unanswered = self.call_control.unanswered_by_connection();
+            unanswered.get(&id).is_some_and(|count| *count >= MAX_UNANSWERED_BEFORE_FIRST_ANSWER)
+        };
+        let result = match parsed {
+            Some(_) if limit_reached => {
                 // Bounds the room in the call table that a caller can take by sending without pause, so that
                 // others find room as well.
                 self.call_control.reject_for_congestion(id, tag);
@@ -492,7 +518,8 @@
             // A reply with this tag could be taken for the reply to the first set-up, so the connection is
             // closed instead.
             Err(SetUpError::TagInUse) if no_answered_call => {
-                self.close_caller_connection_with_reason(id, "it sent a set-up with a tag that is in use");
+                let reason = format!("it sent a set-up with tag {tag:016x}, which is in use");
+                self.close_caller_connection_with_reason(id, &reason);
                 return false;
             }
             Err(SetUpError::TagInUse) => {
@@ -511,7 +538,8 @@
     }
 }
 
-/// Reads the parameters of a set-up. `None` if one is missing or malformed.
+/// Reads the parameters of a set-up. `None` if one is malformed, or if the called number, the class, the
+/// caller's time-out or the routing attributes are missing.
 fn parse_set_up(message: &Message) -> Option<SetUp> {
     let called_number = message.text_parameter(parameter_code::CALLED_NUMBER)?;
     if called_number.is_empty()
@@ -520,16 +548,14 @@
     {
         return None;
     }
+    let caller_timeout_ms: i64 = message.text_parameter(parameter_code::CALLER_TIMEOUT)?.parse().ok()?;
     let mut set_up = SetUp {
         tag: message.tag,
         class: message.text_parameter(parameter_code::CLASS)?.to_string(),
         called_number: called_number.to_string(),
-        caller_timeout: message
-            .text_parameter(parameter_code::CALLER_TIMEOUT)?
-            .parse::<i64>()
-            .ok()?
-            .saturating_mul(1000),
+        caller_timeout: caller_timeout_ms.saturating_mul(1000),
         redial: message.text_parameter(parameter_code::REDIAL).is_some_and(|value| value != "0"),
+        // Call control rejects a set-up without a destination.
         destination: -1,
         circuits: 1.0,
         via_exchange: -1,
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -13,10 +13,15 @@
 /// Maximum size of an encoded message, including its line feed.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
+/// A longer waiting time in a release is taken for this one.
+const MAX_WAITED_MS: f64 = 1e9;
+
 /// A message to or from a carrier switch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// Message type, such as `START`.
+    /// Message type: `START` (set-up), `STARTED` (answer), `FINISH` (release), `FINISHED` (acknowledgement of
+    /// a release), `LOAD` (load report), `ECHO` (probe) or `ECHOED` (result of a probe). Any other type is
+    /// ignored on receipt.
     pub verb: String,
     /// The tag of the call or the probe, as 16 hexadecimal digits.
     #[serde(default)]
@@ -60,8 +65,8 @@
         }
     }
 
-    /// Parses the load report in the field `load`, such as `x0:12;x1:40;queue:3`. Entries that cannot be
-    /// parsed are skipped.
+    /// Parses the load report in the field `load`, such as `x0:12;x1:40;queue:3` for 12 free circuits in a
+    /// group of 40 and 3 waiting messages. Entries that cannot be parsed are skipped.
     pub fn load_report(&self) -> LoadReport {
         let mut report = LoadReport::default();
         for entry in self.field_text("load").unwrap_or_default().split(';') {
@@ -74,7 +79,8 @@
         report
     }
 
-    /// Returns the reason that the switch gives for a release in the field `note`.
+    /// Returns the reason that the switch gives for a release in the field `note`, with the waiting time in
+    /// milliseconds in the field `waited`.
     pub fn release_reason(&self) -> EndReason {
         match self.field_text("note").as_deref() {
             Some("atb") => EndReason::NoCircuit,
@@ -84,7 +90,7 @@
             Some("acc") => {
                 let waited_ms = self.field_text("waited").and_then(|w| w.parse::<f64>().ok()).unwrap_or(0.0);
                 // Values out of range are clamped; the cast turns NaN into 0.
-                EndReason::ProcessorCongested((waited_ms.clamp(0.0, 1e9) * 1000.0) as i64)
+                EndReason::ProcessorCongested((waited_ms.clamp(0.0, MAX_WAITED_MS) * 1000.0) as i64)
             }
             _ => EndReason::Unknown,
         }
@@ -120,7 +126,7 @@
 /// Decodes the first message in `bytes`. Returns it with its encoded size, or `None` if it is incomplete.
 ///
 /// # Errors
-/// Describes what is malformed.
+/// Names what is malformed, in words that can follow "the switch sent".
 pub fn decode(bytes: &[u8]) -> Result<Option<(Message, usize)>, &'static str> {
     match first_line(bytes, MAX_MESSAGE_BYTES)? {
         Some((line, size)) => {
--- a/src/net/lines/tests.rs
+++ b/src/net/lines/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn incomplete_lines_are_not_decoded() {
     let text = "{\"verb\":\"FINISH\",\"tag\":\"9b1f03aa5c7e2d41\",\"opts\":{\"waited\":12},\"rc\":34}\nrest";
-    let end = text.len() - 4;
+    let end = text.len() - "rest".len();
     for length in 0..end {
         assert_eq!(decode(&text.as_bytes()[..length]), Ok(None));
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -26,24 +26,39 @@
 #[cfg(test)]
 mod tests;
 
-/// Shortest time that the program keeps running after SIGTERM, since callers go on sending set-ups.
+/// Shortest time that the program keeps running after the start of a shutdown (SIGTERM or SIGINT), since
+/// callers go on sending set-ups.
 const MIN_SHUTDOWN_TIME: Micros = 800_000;
-/// Time after SIGTERM at which unanswered calls are rejected, so that their callers are told before the
-/// program would be killed.
+/// Time after the start of a shutdown at which unanswered calls are rejected, so that their callers are told
+/// before the program would be killed.
 const SHUTDOWN_REJECT_AFTER: Micros = 3_300_000;
-/// Time after SIGTERM at which the program exits in any case: 100 ms are left to send the rejections.
+/// Time after the start of a shutdown at which the program exits in any case: 100 ms are left to send the
+/// rejections.
 const MAX_SHUTDOWN_TIME: Micros = SHUTDOWN_REJECT_AFTER + 100_000;
-/// Over sockets, each time limit of the deployment is longer by this margin. The release wait that the
-/// controller is given includes it.
-const SOCKET_TIME_MARGIN: Micros = 50_000;
+/// Added to the release wait that the settings give: over sockets, each time limit of the deployment is
+/// longer by this margin.
+const RELEASE_WAIT_MARGIN: Micros = 50_000;
 /// Interval of the event loop's timer while the timer queue is empty.
 const IDLE_TIMER_INTERVAL: Duration = Duration::from_secs(3600);
 /// Time-out of an attempt to connect to a switch, unless the settings give one.
-const DEFAULT_CONNECT_TIMEOUT: Micros = 500_000;
-/// Longest `caller_timeout` that a set-up may state, where the settings give no deadline for any class.
+const DEFAULT_SWITCH_CONNECT_TIMEOUT: Micros = 500_000;
+/// Longest `caller_timeout` that a set-up may state, where the settings give no deadline for any class. Also
+/// stands for a deadline that is invalid.
 const DEFAULT_MAX_CALLER_TIMEOUT: Micros = 60_000_000;
 /// Idle time after which a switch closes its connection, unless the settings give one.
 const DEFAULT_SWITCH_IDLE_TIMEOUT: Micros = 600_000_000;
+/// Most sockets of the program, unless the configuration gives a limit.
+const DEFAULT_MAX_SOCKETS: usize = 1024;
+/// Memory limit of the program, unless the configuration gives one.
+const DEFAULT_MEMORY_MB: f64 = 192.0;
+/// A memory limit below this value is raised to it.
+const MIN_MEMORY_MB: f64 = 8.0;
+/// A memory limit above this value is lowered to it.
+const MAX_MEMORY_MB: f64 = 1e6;
+/// Number of caller connections that is always allowed, however low the limit on sockets is.
+const MIN_CALLER_CONNECTIONS: usize = 8;
+/// Memory that a call takes in call control and the controller, approximately.
+const BYTES_PER_CALL: usize = 1024;
 
 /// Writes a line to the log, which is standard error. A failure to write is ignored, so that calls are served
 /// even without a log.
@@ -81,10 +96,11 @@
     /// is reserved for the switches, the control feed and the program itself.
     max_caller_connections: usize,
     /// Unsent bytes per caller. If each caller is at this limit, they take an eighth of the memory together.
+    /// The limit is never below two messages of the largest size.
     max_unsent_bytes_per_caller: usize,
     /// Unsent bytes per switch, and the size of a line of the control feed.
     max_peer_buffer_bytes: usize,
-    /// Calls, answered or not. Each takes about a kilobyte in call control and the controller.
+    /// Calls, answered or not. At this limit they take about an eighth of the memory.
     max_calls: usize,
     /// Total bytes of the session descriptions that unanswered calls hold.
     max_description_bytes: usize,
@@ -92,14 +108,15 @@
 
 impl ResourceLimits {
     fn new(max_sockets: usize, memory_bytes: usize) -> Self {
-        let max_caller_connections = (max_sockets - max_sockets / 4).max(8);
+        let max_caller_connections = (max_sockets - max_sockets / 4).max(MIN_CALLER_CONNECTIONS);
+        let eighth_of_memory = memory_bytes / 8;
         ResourceLimits {
             max_caller_connections,
-            max_unsent_bytes_per_caller: (memory_bytes / 8 / max_caller_connections)
+            max_unsent_bytes_per_caller: (eighth_of_memory / max_caller_connections)
                 .max(2 * binary::MAX_MESSAGE_BYTES),
             max_peer_buffer_bytes: memory_bytes / 64,
-            max_calls: memory_bytes / 8192,
-            max_description_bytes: memory_bytes / 8,
+            max_calls: eighth_of_memory / BYTES_PER_CALL,
+            max_description_bytes: eighth_of_memory,
         }
     }
 }
@@ -118,7 +135,7 @@
     known_events: KnownEvents,
     settings: Settings,
     names: IndexedNames,
-    connect_timeout: Micros,
+    switch_connect_timeout: Micros,
     switch_idle_timeout: Micros,
     call_limits: CallLimits,
 }
@@ -147,11 +164,11 @@
         let pairs = settings::flatten_json(&file.settings);
         let (mut settings, names) =
             settings::build_settings(&pairs).map_err(|error| format!("settings: {error}"))?;
-        settings.release_wait += SOCKET_TIME_MARGIN;
-        let resource_limits = ResourceLimits::new(
-            file.limits.sockets.unwrap_or(1024),
-            (file.limits.memory_mb.unwrap_or(192.0).clamp(8.0, 1e6) * 1e6) as usize,
-        );
+        settings.release_wait += RELEASE_WAIT_MARGIN;
+        let max_sockets = file.limits.sockets.unwrap_or(DEFAULT_MAX_SOCKETS);
+        let memory_mb =
+            file.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB).clamp(MIN_MEMORY_MB, MAX_MEMORY_MB);
+        let resource_limits = ResourceLimits::new(max_sockets, (memory_mb * 1e6) as usize);
         let parse_address = |key: &str, text: &str| {
             text.parse::<SocketAddr>()
                 .map_err(|_| format!("{key}: {text:?} is not an IP address with a port"))
@@ -166,7 +183,11 @@
             }),
             feed_address: if file.feed.is_empty() { None } else { Some(parse_address("feed", &file.feed)?) },
             known_events: file.known,
-            connect_timeout: settings::duration_or(&pairs, "limits.connectTimeoutS", DEFAULT_CONNECT_TIMEOUT),
+            switch_connect_timeout: settings::duration_or(
+                &pairs,
+                "limits.connectTimeoutS",
+                DEFAULT_SWITCH_CONNECT_TIMEOUT,
+            ),
             call_limits: CallLimits {
                 max_calls: settings::count_or(&pairs, "limits.openCap", usize::MAX)
                     .min(resource_limits.max_calls),
@@ -212,7 +233,8 @@
     pending_reads: Vec<PendingRead>,
     /// The deadline that the event loop's timer is set to.
     timer_deadline: Option<Micros>,
-    /// Set once every switch in service has reported its load or has failed to do so in time.
+    /// Set once every switch in service has sent a message, could not be reached or was silent for too long
+    /// (see [`Switches::all_initial_states_known`]). Health checks pass from then on until a shutdown.
     ready: bool,
     /// When the program was told to shut down.
     shutdown_started_at: Option<Micros>,
@@ -227,24 +249,25 @@
 /// Why it could not start, or a failure of the event loop.
 pub fn serve(config: Config) -> Result<(), String> {
     let mut event_loop: EventLoop<'static, Gatekeeper> =
-        EventLoop::try_new().map_err(|error| format!("event loop: {error}"))?;
+        EventLoop::try_new().map_err(|error| format!("cannot create the event loop: {error}"))?;
     let loop_handle = event_loop.handle();
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])
-        .map_err(|error| format!("signals: {error}"))?;
+        .map_err(|error| format!("cannot receive signals: {error}"))?;
     loop_handle
         .insert_source(signals, |event, _, gatekeeper: &mut Gatekeeper| match event.signal() {
             Signal::SIGHUP => gatekeeper.reload_config(),
             _ => gatekeeper.start_shutdown(),
         })
-        .map_err(|error| format!("signals: {}", error.error))?;
+        .map_err(|error| format!("cannot receive signals: {}", error.error))?;
     let timer = Dispatcher::new(Timer::immediate(), |_, _, gatekeeper: &mut Gatekeeper| {
         // Makes the loop below set the timer again. The time of this iteration may have been read just before
-        // the deadline, so that the event stays in the queue until the next iteration.
+        // the deadline; the timer event that is due then stays in the queue until the next iteration.
         gatekeeper.timer_deadline = None;
         TimeoutAction::ToDuration(IDLE_TIMER_INTERVAL)
     });
-    let timer_token =
-        loop_handle.register_dispatcher(timer.clone()).map_err(|error| format!("timer: {error}"))?;
+    let timer_token = loop_handle
+        .register_dispatcher(timer.clone())
+        .map_err(|error| format!("cannot create the timer: {error}"))?;
 
     let mut clock = Clock::start();
     let now = clock.now();
@@ -256,14 +279,14 @@
         limits.max_caller_connections,
         limits.max_unsent_bytes_per_caller,
     )
-    .map_err(|error| format!("listen on {}: {error}", config.listen_address))?;
+    .map_err(|error| format!("cannot listen on {}: {error}", config.listen_address))?;
     let mut gatekeeper = Gatekeeper {
         clock,
         call_control: CallControl::new(config.settings, config.names, config.call_limits, config.seed, now),
         callers,
         switches: Switches::new(
             loop_handle.clone(),
-            config.connect_timeout,
+            config.switch_connect_timeout,
             config.switch_idle_timeout,
             own_exchange,
             limits.max_peer_buffer_bytes,
@@ -289,10 +312,12 @@
                 |deadline| gatekeeper.clock.to_instant(deadline),
             );
             timer.as_source_mut().set_deadline(instant);
-            loop_handle.update(&timer_token).map_err(|error| format!("timer: {error}"))?;
+            loop_handle.update(&timer_token).map_err(|error| format!("cannot set the timer: {error}"))?;
         }
         let max_wait = if gatekeeper.pending_reads.is_empty() { None } else { Some(Duration::ZERO) };
-        event_loop.dispatch(max_wait, &mut gatekeeper).map_err(|error| format!("event loop: {error}"))?;
+        event_loop
+            .dispatch(max_wait, &mut gatekeeper)
+            .map_err(|error| format!("event loop failed: {error}"))?;
         gatekeeper.resume_reads();
     }
     log("stopped");
@@ -398,7 +423,7 @@
     fn reload_config(&mut self) {
         match Config::load(&self.config_path) {
             Ok(config) => {
-                log("configuration reloaded");
+                log("configuration reloaded: only `feed` and `known` take effect");
                 self.reconfigure_feed(config.feed_address, config.known_events);
             }
             // The file may be invalid or only partly written. The gatekeeper goes on unchanged.
--- a/src/net/tests.rs
+++ b/src/net/tests.rs
@@ -2,19 +2,22 @@
 
 use super::*;
 
-/// For tests of the codecs: passes on 20,000 mutations of an encoded message, each with one to four bytes
-/// overwritten and, in about one of eight, the last byte cut off. A decoder must not panic on any of them,
-/// since a panic ends the program.
+/// Calls `check` with 20,000 mutations of an encoded message, each with one to four bytes overwritten and, in
+/// about one of eight, the last byte cut off. A decoder must not panic on any of them, since a panic ends the
+/// program.
 pub(super) fn for_each_mutation(encoded: &[u8], mut check: impl FnMut(&[u8])) {
     use rand_core::{RngCore, SeedableRng};
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(1);
     for _ in 0..20_000 {
         let mut bytes = encoded.to_vec();
-        for _ in 0..=rng.next_u32() % 4 {
+        let overwrites = 1 + rng.next_u32() % 4;
+        for _ in 0..overwrites {
             let index = rng.next_u32() as usize % bytes.len();
             bytes[index] = rng.next_u32() as u8;
         }
-        bytes.truncate(bytes.len() - rng.next_u32() as usize % 8 / 7);
+        if rng.next_u32() % 8 == 7 {
+            bytes.pop();
+        }
         check(&bytes);
     }
 }
@@ -26,7 +29,8 @@
         let limits = ResourceLimits::new(sockets, memory_bytes);
         // In normal operation callers hold a third; the switches, the feed and the program need the rest.
         assert!(limits.max_caller_connections > sockets / 3);
-        assert!(sockets - limits.max_caller_connections >= 64);
+        let other_sockets = sockets - limits.max_caller_connections;
+        assert!(other_sockets >= 64);
         assert!(limits.max_unsent_bytes_per_caller >= binary::MAX_MESSAGE_BYTES);
         let unsent_to_callers = limits.max_caller_connections * limits.max_unsent_bytes_per_caller;
         let peer_buffers = 9 * limits.max_peer_buffer_bytes;
