--- a/src/net/callers.rs
+++ b/src/net/callers.rs
@@ -239,7 +239,7 @@
                 self.pending_releases.push_back(PendingRelease { tag, cause, waiting_since: now });
             }
             None => log(&format!(
-                "release of call {tag:016x} dropped: {MAX_PENDING_RELEASES} others wait for a caller to connect"
+                "release of call {tag:016x} dropped: {MAX_PENDING_RELEASES} wait for a caller to connect"
             )),
         }
     }
@@ -340,7 +340,7 @@
                         match self.callers.eviction_candidate(&unanswered) {
                             Some(id) => {
                                 let reason = format!(
-                                    "a new one came at the limit of {}, set by limits.sockets",
+                                    "a new one came at the limit of {}, which follows from limits.sockets",
                                     self.callers.max_connections
                                 );
                                 self.close_caller_connection_with_reason(id, &reason);
