--- a/src/call.rs
+++ b/src/call.rs
@@ -5,8 +5,8 @@
 
 use crate::control::Controller;
 use crate::interface::{
-    Action, AttemptEnd, CallId, EndReason, Event, ExchangeNumber, LoadReport, Micros, NewCall, Outcome,
-    Settings, SwitchId, SwitchListUpdate,
+    Action, AttemptEnd, CallId, EndReason, Event, ExchangeNumber, LoadReport, MILLISECOND, Micros, NewCall,
+    Outcome, SECOND, Settings, SwitchId, SwitchListUpdate,
 };
 use crate::settings::IndexedNames;
 use crate::timers::TimerQueue;
@@ -46,13 +46,13 @@
 /// How long the tag of an ended call is kept, so that messages that still arrive for it are taken for
 /// repeats. It is long because a switch repeats a release on its next connection, which may be established
 /// much later.
-const ENDED_TAG_RETENTION: Micros = 600_000_000;
+const ENDED_TAG_RETENTION: Micros = 600 * SECOND;
 /// Most tags of ended calls that are kept, as a multiple of the calls that the call table may hold.
 const MAX_ENDED_TAGS_PER_CALL: usize = 8;
 /// Back-off of set-ups that are rejected without asking the controller, because a limit on calls is reached.
-const CONGESTION_BACK_OFF: Micros = 1_000_000;
+const CONGESTION_BACK_OFF: Micros = SECOND;
 /// A probe that has not been answered after this time has failed.
-const PROBE_TIMEOUT: Micros = 250_000;
+const PROBE_TIMEOUT: Micros = 250 * MILLISECOND;
 /// Shortest round trip that is reported for a probe: 0 stands for an unsolicited load report.
 const MIN_ROUND_TRIP: Micros = 1;
 /// Highest exchange number that a set-up may name.
@@ -216,7 +216,7 @@
     Shutdown,
 }
 
-/// An attempt that is out at a switch.
+/// An attempt that is in progress at a switch.
 struct Attempt {
     number: u32,
     switch: SwitchId,
@@ -224,7 +224,7 @@
 }
 
 enum CallState {
-    /// The call is not answered yet. There is an attempt out at a switch, or none while the controller
+    /// The call is not answered yet. An attempt is in progress at a switch, or none while the controller
     /// decides on the call, holds it or waits before the next attempt.
     Unanswered(Option<Attempt>),
     /// The switch has answered the attempt whose set-up was sent at `sent_at`.
@@ -245,7 +245,7 @@
     state: CallState,
 }
 
-/// A probe that is out at a switch.
+/// A probe that is in progress at a switch.
 struct Probe {
     switch: SwitchId,
     sent_at: Micros,
@@ -329,7 +329,7 @@
         self.calls.values().filter(|call| matches!(call.state, CallState::Unanswered(_))).count()
     }
 
-    /// Whether a call has an attempt out at a switch or was answered by it.
+    /// Whether a call has an attempt in progress at a switch or was answered by it.
     pub fn has_calls_at(&self, switch: SwitchId) -> bool {
         self.calls.values().any(|call| match &call.state {
             CallState::Unanswered(Some(attempt)) => attempt.switch == switch,
@@ -338,7 +338,7 @@
         })
     }
 
-    /// When the oldest of the attempts that are out at a switch was sent.
+    /// When the oldest of the attempts in progress at a switch was sent.
     pub fn oldest_attempt_sent_at(&self, switch: SwitchId) -> Option<Micros> {
         let sent_at = |call: &Call| match &call.state {
             CallState::Unanswered(Some(attempt)) if attempt.switch == switch => Some(attempt.sent_at),
@@ -528,8 +528,9 @@
     pub fn handle_switch_release(&mut self, now: Micros, switch: SwitchId, tag: Tag, release: Release) {
         let Some(id) = self.call_ids.get(&tag).copied() else {
             self.handle_load_report(switch, release.report);
-            let may_be_answered = matches!(release.cause, cause::NORMAL_CLEARING | cause::TEMPORARY_FAILURE);
-            if may_be_answered && !self.ended_tags.contains_key(&tag) {
+            let may_have_been_answered =
+                matches!(release.cause, cause::NORMAL_CLEARING | cause::TEMPORARY_FAILURE);
+            if may_have_been_answered && !self.ended_tags.contains_key(&tag) {
                 // A call that was set up before the last restart. Its caller may still take it for answered.
                 self.record_ended_tag(now, tag);
                 self.commands.push(Command::ReleaseToCaller { connection: None, tag, cause: release.cause });
@@ -711,11 +712,13 @@
 
     /// Passes the events since the last batch to the controller, if a batch is due, and executes its actions.
     ///
-    /// Batches have the same properties as in the simulator's protocol ([`crate::wire`]):
+    /// Properties of a batch:
     /// - All events of a batch have the time of the batch and come in order of arrival.
     /// - A batch starts at least the batch interval after the one before.
     /// - Actions are executed in order, after the last event of the batch.
     /// - Events that the actions cause at once are part of the next batch.
+    ///
+    /// The batches of the simulator's protocol ([`crate::wire`]) have the same properties.
     pub fn run_batch(&mut self, now: Micros) {
         if self.pending_events.is_empty() || now < self.next_batch_at {
             return;
@@ -777,8 +780,8 @@
         let number = call.next_attempt;
         call.next_attempt += 1;
         if !matches!(call.state, CallState::Unanswered(None)) {
-            // A call never has two attempts out, and none after its answer, even if the controller decided
-            // before it knew of the attempt or the answer.
+            // A call never has two attempts in progress, and none after its answer, even if the controller
+            // decided before it knew of the attempt or the answer.
             return self.push_attempt_end(id, number, switch, Outcome::NotSent, true);
         }
         call.state = CallState::Unanswered(Some(Attempt { number, switch, sent_at: now }));
--- a/src/call/tests.rs
+++ b/src/call/tests.rs
@@ -4,7 +4,6 @@
 use crate::interface::{Health, SwitchEntry};
 use crate::settings::{build_settings, flatten_json};
 
-const MS: Micros = 1_000;
 const CALLER: ConnectionId = ConnectionId(1);
 const SWITCH: SwitchId = SwitchId(11);
 
@@ -19,11 +18,11 @@
         let config: serde_json::Value =
             serde_json::from_str(include_str!("../../tests/exchanges/config.json")).unwrap();
         let (settings, names) = build_settings(&flatten_json(&config["settings"])).unwrap();
-        let now = 10_000 * MS;
+        let now = 10_000 * MILLISECOND;
         let limits = CallLimits {
             max_calls: 100,
             max_description_bytes: 10_000,
-            max_caller_timeout: 9_000 * MS,
+            max_caller_timeout: 9_000 * MILLISECOND,
             circuits_by_class: vec![1.0],
         };
         let mut call_control = CallControl::new(settings, names, limits, 7, now);
@@ -58,7 +57,7 @@
     /// Runs an iteration each millisecond until one has commands.
     fn run_until_commands(&mut self) -> Vec<Command> {
         for _ in 0..10_000 {
-            self.now += MS;
+            self.now += MILLISECOND;
             let commands = self.run_iteration();
             if !commands.is_empty() {
                 return commands;
@@ -79,12 +78,12 @@
             ..SetUp::default()
         };
         self.call_control.handle_set_up(self.now, CALLER, set_up).unwrap();
-        self.now += 10 * MS;
+        self.now += 10 * MILLISECOND;
         self.run_iteration()
     }
 
     fn set_up_answered_call(&mut self, tag: Tag) {
-        let commands = self.set_up_call(tag, 3000 * MS);
+        let commands = self.set_up_call(tag, 3000 * MILLISECOND);
         assert!(matches!(commands[..], [Command::SetUp { .. }]), "{commands:?}");
         self.call_control.handle_answer(self.now, SWITCH, tag, None);
         assert_eq!(
@@ -99,8 +98,8 @@
 #[test]
 fn call_answered_in_the_batch_of_its_rejection_is_not_rejected() {
     let mut fixture = Fixture::new();
-    fixture.set_up_call(1, 300 * MS);
-    fixture.now += 285 * MS;
+    fixture.set_up_call(1, 300 * MILLISECOND);
+    fixture.now += 285 * MILLISECOND;
     fixture.run_due_timers();
     fixture.call_control.handle_answer(fixture.now, SWITCH, 1, None);
     assert_eq!(
@@ -113,7 +112,7 @@
 #[test]
 fn call_is_released_at_the_switch_before_the_rejection_and_again_after_a_late_answer() {
     let mut fixture = Fixture::new();
-    fixture.set_up_call(1, 300 * MS);
+    fixture.set_up_call(1, 300 * MILLISECOND);
     let commands = fixture.run_until_commands();
     let reject = Command::Reject { connection: CALLER, tag: 1, cause: cause::TEMPORARY_FAILURE, back_off: 0 };
     assert_eq!(commands, [Command::ReleaseAtSwitch { switch: SWITCH, tag: 1 }, reject]);
@@ -124,14 +123,14 @@
 #[test]
 fn call_whose_connection_is_reset_is_repeated_once_after_the_release_wait() {
     let mut fixture = Fixture::new();
-    fixture.set_up_call(1, 3000 * MS);
+    fixture.set_up_call(1, 3000 * MILLISECOND);
     fixture.call_control.handle_connection_lost(SWITCH, fixture.now);
     let reset_at = fixture.now;
     let commands = fixture.run_until_commands();
     assert!(matches!(commands[..], [Command::SetUp { tag: 1, .. }]), "{commands:?}");
-    assert!(fixture.now - reset_at >= 500 * MS);
+    assert!(fixture.now - reset_at >= 500 * MILLISECOND);
     // The controller may decide on an older state of the call: no second attempt is sent beside the first.
-    fixture.call_control.send_attempt(fixture.now, CallId(1), SWITCH, MS);
+    fixture.call_control.send_attempt(fixture.now, CallId(1), SWITCH, MILLISECOND);
     assert_eq!(std::mem::take(&mut fixture.call_control.commands), []);
 }
 
@@ -140,11 +139,11 @@
     let mut fixture = Fixture::new();
     let report = LoadReport { free_circuits: Some(8.0), ..LoadReport::default() };
     fixture.call_control.handle_load_report(SWITCH, report);
-    fixture.now += MS;
+    fixture.now += MILLISECOND;
     fixture.run_iteration();
     assert_eq!(fixture.call_control.pending_events.len(), 1);
-    assert_eq!(fixture.call_control.next_deadline(), Some(fixture.now + 4 * MS));
-    fixture.now += 4 * MS;
+    assert_eq!(fixture.call_control.next_deadline(), Some(fixture.now + 4 * MILLISECOND));
+    fixture.now += 4 * MILLISECOND;
     fixture.run_iteration();
     assert_eq!(fixture.call_control.pending_events.len(), 0);
 }
@@ -153,9 +152,9 @@
 fn switch_failure_ends_the_answered_calls_that_were_sent_before_it() {
     let mut fixture = Fixture::new();
     fixture.set_up_answered_call(1);
-    fixture.now += 100 * MS;
+    fixture.now += 100 * MILLISECOND;
     let failed_at = fixture.now;
-    fixture.now += 100 * MS;
+    fixture.now += 100 * MILLISECOND;
     fixture.set_up_answered_call(2);
     fixture.call_control.handle_switch_down(fixture.now, SWITCH, failed_at);
     let release =
@@ -177,7 +176,7 @@
     fixture.call_control.handle_switch_release(fixture.now, SWITCH, 5, release());
     fixture.call_control.handle_caller_release(fixture.now, 5);
     assert_eq!(fixture.run_iteration(), [command]);
-    fixture.now += ENDED_TAG_RETENTION + MS;
+    fixture.now += ENDED_TAG_RETENTION + MILLISECOND;
     fixture.run_iteration();
     assert!(fixture.call_control.ended_tags.is_empty());
     assert!(fixture.call_control.ended_tag_expiries.is_empty());
@@ -187,14 +186,14 @@
 fn set_up_is_rejected_without_the_controller_when_the_call_table_is_full() {
     let mut fixture = Fixture::new();
     fixture.call_control.limits.max_calls = 1;
-    fixture.set_up_call(1, 3000 * MS);
+    fixture.set_up_call(1, 3000 * MILLISECOND);
     let reject = Command::Reject {
         connection: CALLER,
         tag: 2,
         cause: cause::CONGESTION,
         back_off: CONGESTION_BACK_OFF,
     };
-    assert_eq!(fixture.set_up_call(2, 3000 * MS), [reject]);
+    assert_eq!(fixture.set_up_call(2, 3000 * MILLISECOND), [reject]);
 }
 
 /// The descriptions of unanswered calls take memory: their total is limited, and the bytes of a call no
@@ -209,14 +208,14 @@
             tag,
             class: "check".into(),
             called_number: "n".into(),
-            caller_timeout: 3000 * MS,
+            caller_timeout: 3000 * MILLISECOND,
             destination: 1,
             circuits: 1.0,
             session_description: Some("v=0 s=-".to_string()),
             ..SetUp::default()
         };
         fixture.call_control.handle_set_up(fixture.now, CALLER, set_up).unwrap();
-        fixture.now += 10 * MS;
+        fixture.now += 10 * MILLISECOND;
         fixture.run_iteration()
     };
     assert!(matches!(set_up_with_description(&mut fixture, 1)[..], [Command::SetUp { tag: 1, .. }]));
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,6 +1,6 @@
 //! The program's clock: whole microseconds of monotonic time, read once per iteration of the event loop.
 
-use crate::interface::Micros;
+use crate::interface::{MILLISECOND, Micros, SECOND};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 #[cfg(test)]
@@ -8,7 +8,7 @@
 
 /// The reading at the start of the program: one day. The controller takes a time of 0 for "never", so events
 /// from before the start, such as the start of a switch, must have readings above 0.
-const READING_AT_START: Micros = 86_400_000_000;
+const READING_AT_START: Micros = 86_400 * SECOND;
 /// Longest time after the start, about 35 years, that is converted to an [`Instant`]. An overflow of an
 /// `Instant` panics, and its range depends on the platform.
 const MAX_INSTANT_OFFSET_US: u64 = 1 << 50;
@@ -62,7 +62,7 @@
         if unix_ms <= 0 {
             return None;
         }
-        let since_start = unix_ms.saturating_mul(1000).saturating_sub(self.unix_time_at_start);
+        let since_start = unix_ms.saturating_mul(MILLISECOND).saturating_sub(self.unix_time_at_start);
         let reading = since_start.saturating_add(READING_AT_START);
         (reading > 0).then_some(reading)
     }
--- a/src/clock/tests.rs
+++ b/src/clock/tests.rs
@@ -6,7 +6,7 @@
 fn unix_times_are_converted_and_the_distant_past_is_none() {
     let clock = Clock::starting_at(Instant::now(), Duration::from_secs(1_000_000));
     assert_eq!(clock.from_unix_ms(1_000_000_000), Some(READING_AT_START));
-    assert_eq!(clock.from_unix_ms(999_995_000), Some(READING_AT_START - 5_000_000));
+    assert_eq!(clock.from_unix_ms(999_995_000), Some(READING_AT_START - 5 * SECOND));
     for unix_ms in [0, -7, 1, i64::MIN] {
         assert_eq!(clock.from_unix_ms(unix_ms), None);
     }
--- a/src/control.rs
+++ b/src/control.rs
@@ -14,7 +14,8 @@
 
 use crate::interface::{
     Action, AttemptEnd, CallId, DeduplicationScope, EndReason, Event, ExchangeNumber, Health, LoadReport,
-    Micros, NewCall, Outcome, RepeatPolicy, Settings, SwitchEntry, SwitchId, SwitchListUpdate,
+    MILLISECOND, Micros, NewCall, Outcome, RepeatPolicy, SECOND, Settings, SwitchEntry, SwitchId,
+    SwitchListUpdate,
 };
 use rand_chacha::ChaCha8Rng;
 use rand_core::{RngCore, SeedableRng};
@@ -23,14 +24,11 @@
 #[cfg(test)]
 mod tests;
 
-const MS: Micros = 1_000;
-const SECOND: Micros = 1_000_000;
-
 // Parameters of the overload control. Symbols and values in parentheses are those of the paper that
 // docs/design.md names.
 
 /// Control period of both PI loops.
-const CONTROL_PERIOD: Micros = 20 * MS;
+const CONTROL_PERIOD: Micros = 20 * MILLISECOND;
 /// Target of the pressure (CT, 0.8 or 0.9): at 0.7 a set-up may take 3.3 times the base delay before calls
 /// are rejected.
 const TARGET_PRESSURE: f64 = 0.7;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -4,6 +4,12 @@
 /// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
+/// One millisecond.
+pub const MILLISECOND: Micros = 1_000;
+
+/// One second.
+pub const SECOND: Micros = 1_000_000;
+
 /// A call, numbered by the gatekeeper that runs the controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(pub u64);
--- a/src/net/callers.rs
+++ b/src/net/callers.rs
@@ -5,7 +5,7 @@
 use super::link::{Connection, ReadStatus};
 use super::{Gatekeeper, PendingRead, log};
 use crate::call::{ConnectionId, SetUp, SetUpError, Tag, TimerEvent, cause};
-use crate::interface::{ExchangeNumber, Micros};
+use crate::interface::{ExchangeNumber, MILLISECOND, Micros, SECOND};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use std::collections::{BTreeMap, VecDeque};
@@ -18,16 +18,16 @@
 /// already accepted are read, and the unused ones recognised, before more are accepted.
 const MAX_ACCEPTS_PER_ITERATION: usize = 16;
 /// Time between two checks of the callers' connections.
-const MAINTENANCE_INTERVAL: Micros = 250_000;
+const MAINTENANCE_INTERVAL: Micros = 250 * MILLISECOND;
 /// A connection at [`TrustLevel::Unknown`] is closed after this time without activity, and any connection if
 /// the rest of a message is still missing this long after its first part.
-const RECEIVE_TIMEOUT: Micros = 2_000_000;
+const RECEIVE_TIMEOUT: Micros = 2 * SECOND;
 /// A connection at a higher trust level is closed after this time without activity, unless it has an
 /// unanswered call. Callers close their idle connections after 4 s.
-const IDLE_TIMEOUT: Micros = 5_000_000;
+const IDLE_TIMEOUT: Micros = 5 * SECOND;
 /// A release that has waited this long for a connection at [`TrustLevel::ValidMessage`] or higher is sent on
 /// any connection.
-const RELEASE_FALLBACK_DELAY: Micros = 500_000;
+const RELEASE_FALLBACK_DELAY: Micros = 500 * MILLISECOND;
 /// A connection is closed when it has sent this many set-ups that are invalid or have a tag that is in use.
 const SET_UP_ERROR_LIMIT: u32 = 16;
 /// A connection that releases more unknown calls than this is closed. After a restart of the gatekeeper, all
@@ -221,7 +221,7 @@
         let mut reject =
             Message::new(message_type::RELEASE, tag).with_parameter(parameter_code::CAUSE, [cause]);
         if back_off > 0 {
-            let back_off_ms = (back_off / 1000).max(1);
+            let back_off_ms = (back_off / MILLISECOND).max(1);
             reject = reject.with_parameter(parameter_code::BACK_OFF, back_off_ms.to_string());
         }
         self.write_message(id, &reject);
@@ -553,7 +553,7 @@
         tag: message.tag,
         class: message.text_parameter(parameter_code::CLASS)?.to_string(),
         called_number: called_number.to_string(),
-        caller_timeout: caller_timeout_ms.saturating_mul(1000),
+        caller_timeout: caller_timeout_ms.saturating_mul(MILLISECOND),
         redial: message.text_parameter(parameter_code::REDIAL).is_some_and(|value| value != "0"),
         // Call control rejects a set-up without a destination.
         destination: -1,
--- a/src/net/feed.rs
+++ b/src/net/feed.rs
@@ -6,19 +6,19 @@
 use super::{Gatekeeper, PendingRead, log};
 use crate::call::TimerEvent;
 use crate::clock::Clock;
-use crate::interface::{ExchangeNumber, Health, Micros, SwitchEntry, SwitchListUpdate};
+use crate::interface::{ExchangeNumber, Health, MILLISECOND, Micros, SECOND, SwitchEntry, SwitchListUpdate};
 use calloop::LoopHandle;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
 /// Time within which a connection must be established.
-const CONNECT_TIMEOUT: Micros = 1_000_000;
+const CONNECT_TIMEOUT: Micros = SECOND;
 /// The feed sends a line each second; a connection that has been silent for this long is replaced.
-const SILENCE_TIMEOUT: Micros = 2_500_000;
+const SILENCE_TIMEOUT: Micros = 2500 * MILLISECOND;
 /// Delay before the next attempt to connect after an attempt has failed with an error, the connection was
 /// closed by the feed or failed on reading, or a malformed line was received. After all other ends of a
 /// connection, such as a time-out, the next attempt is made at once.
-const RECONNECT_DELAY: Micros = 200_000;
+const RECONNECT_DELAY: Micros = 200 * MILLISECOND;
 
 /// An event of the feed: one of its lines, or one of the events in the configuration's `known`.
 #[derive(Clone, Debug, Deserialize)]
--- a/src/net/lines/tests.rs
+++ b/src/net/lines/tests.rs
@@ -1,6 +1,7 @@
 //! Tests the codec of the JSON lines, also with malformed and mutated input.
 
 use super::*;
+use crate::interface::{MILLISECOND, SECOND};
 
 #[test]
 fn incomplete_lines_are_not_decoded() {
@@ -22,8 +23,11 @@
         decode(text.as_bytes()).unwrap().unwrap().0
     };
     let reason = |opts: &str| decode_with(opts).release_reason();
-    assert_eq!(reason(r#"{"note":"acc","waited":"1200"}"#), EndReason::ProcessorCongested(1_200_000));
-    assert_eq!(reason(r#"{"note":"acc","waited":1e300}"#), EndReason::ProcessorCongested(1_000_000_000_000));
+    assert_eq!(
+        reason(r#"{"note":"acc","waited":"1200"}"#),
+        EndReason::ProcessorCongested(1200 * MILLISECOND)
+    );
+    assert_eq!(reason(r#"{"note":"acc","waited":1e300}"#), EndReason::ProcessorCongested(1_000_000 * SECOND));
     assert_eq!(reason(r#"{"note":"racc"}"#), EndReason::CongestedBeyondTandem);
     assert_eq!(reason(r#"{"note":"odd"}"#), EndReason::Unknown);
     let report = decode_with(r#"{"load":"x0:12;x1:40;queue:3;x9:1;bad"}"#).load_report();
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::call::{CallControl, CallLimits, Command, ConnectionId, TimerEvent};
 use crate::clock::Clock;
-use crate::interface::{Micros, Settings, SwitchId};
+use crate::interface::{MILLISECOND, Micros, SECOND, Settings, SwitchId};
 use crate::settings::{self, IndexedNames};
 use callers::Callers;
 use calloop::signals::{Signal, Signals};
@@ -28,25 +28,25 @@
 
 /// Shortest time that the program keeps running after the start of a shutdown (SIGTERM or SIGINT), since
 /// callers go on sending set-ups.
-const MIN_SHUTDOWN_TIME: Micros = 800_000;
+const MIN_SHUTDOWN_TIME: Micros = 800 * MILLISECOND;
 /// Time after the start of a shutdown at which unanswered calls are rejected, so that their callers are told
 /// before the program would be killed.
-const SHUTDOWN_REJECT_AFTER: Micros = 3_300_000;
+const SHUTDOWN_REJECT_AFTER: Micros = 3300 * MILLISECOND;
 /// Time after the start of a shutdown at which the program exits in any case: 100 ms are left to send the
 /// rejections.
-const MAX_SHUTDOWN_TIME: Micros = SHUTDOWN_REJECT_AFTER + 100_000;
+const MAX_SHUTDOWN_TIME: Micros = SHUTDOWN_REJECT_AFTER + 100 * MILLISECOND;
 /// Added to the release wait that the settings give: over sockets, each time limit of the deployment is
 /// longer by this margin.
-const RELEASE_WAIT_MARGIN: Micros = 50_000;
+const RELEASE_WAIT_MARGIN: Micros = 50 * MILLISECOND;
 /// Interval of the event loop's timer while the timer queue is empty.
 const IDLE_TIMER_INTERVAL: Duration = Duration::from_secs(3600);
 /// Time-out of an attempt to connect to a switch, unless the settings give one.
-const DEFAULT_SWITCH_CONNECT_TIMEOUT: Micros = 500_000;
+const DEFAULT_SWITCH_CONNECT_TIMEOUT: Micros = 500 * MILLISECOND;
 /// Longest `caller_timeout` that a set-up may state, where the settings give no deadline for any class. Also
 /// stands for a deadline that is invalid.
-const DEFAULT_MAX_CALLER_TIMEOUT: Micros = 60_000_000;
+const DEFAULT_MAX_CALLER_TIMEOUT: Micros = 60 * SECOND;
 /// Idle time after which a switch closes its connection, unless the settings give one.
-const DEFAULT_SWITCH_IDLE_TIMEOUT: Micros = 600_000_000;
+const DEFAULT_SWITCH_IDLE_TIMEOUT: Micros = 600 * SECOND;
 /// Most sockets of the program, unless the configuration gives a limit.
 const DEFAULT_MAX_SOCKETS: usize = 1024;
 /// Memory limit of the program, unless the configuration gives one.
@@ -410,7 +410,7 @@
             self.close_caller_connection(connection);
         }
         for switch in self.switches.flush() {
-            self.close_switch_connection(switch);
+            self.close_switch_connections(switch);
         }
         if !self.feed.flush() {
             self.close_feed_connection("connection failed", 0);
--- a/src/net/switches.rs
+++ b/src/net/switches.rs
@@ -1,12 +1,24 @@
 //! The connections to the carrier switches, on which messages are exchanged as JSON lines. Each switch has
 //! one connection, which is kept open and shared by all calls. A second one is opened while the switch does
 //! not respond on the first, and may replace it.
+//!
+//! The messages, by their verbs:
+//! - `START`: set-up; its field `key` carries the called number.
+//! - `STARTED`: answer.
+//! - `FINISH`: release, sent by either side.
+//! - `FINISHED`: acknowledgement of a release.
+//! - `ECHO`: probe.
+//! - `ECHOED`: result of a probe.
+//! - `LOAD`: load report.
+//! - `PENDING`: progress of a set-up; ignored on receipt.
 
 use super::lines::{self, Message};
 use super::link::{Connection, ReadStatus};
 use super::{Gatekeeper, PendingRead, log};
 use crate::call::{Release, Tag, TimerEvent, cause};
-use crate::interface::{EndReason, ExchangeNumber, Health, LoadReport, Micros, SwitchId};
+use crate::interface::{
+    EndReason, ExchangeNumber, Health, LoadReport, MILLISECOND, Micros, SECOND, SwitchId,
+};
 use calloop::LoopHandle;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -16,29 +28,29 @@
 
 /// Delay before the next attempt to connect after a first failure. It doubles with each further failure. Also
 /// the delay after malformed input.
-const MIN_RECONNECT_DELAY: Micros = 100_000;
+const MIN_RECONNECT_DELAY: Micros = 100 * MILLISECOND;
 /// Longest delay before the next attempt to connect.
-const MAX_RECONNECT_DELAY: Micros = 1_000_000;
+const MAX_RECONNECT_DELAY: Micros = SECOND;
 /// A switch to which no connection can be established for this long is taken to be down or cut off, and its
 /// calls are released. A single refusal does not suffice: the switch may accept no more connections for now.
-const UNREACHABLE_TIMEOUT: Micros = 2_500_000;
+const UNREACHABLE_TIMEOUT: Micros = 2500 * MILLISECOND;
 /// A switch that has calls and has sent nothing for this long is checked with a second connection. The old
 /// connections of a machine that is down or cut off stay open and silent, but no new one can be established.
 /// Also how long the gatekeeper, before it is ready, waits for the first message on an open connection.
-const SILENCE_TIMEOUT: Micros = 1_500_000;
+const SILENCE_TIMEOUT: Micros = 1500 * MILLISECOND;
 /// If nothing has been received on a connection for this long after a set-up was sent, the connection itself
 /// may have failed. A second one is opened, and replaces the first if the switch sends a message on it.
-const RESPONSE_TIMEOUT: Micros = 150_000;
+const RESPONSE_TIMEOUT: Micros = 150 * MILLISECOND;
 /// How long a replaced connection is still read, since a late answer may arrive on it.
-const REPLACED_CONNECTION_RETENTION: Micros = 3_000_000;
+const REPLACED_CONNECTION_RETENTION: Micros = 3 * SECOND;
 /// Interval between checks of an open connection.
-const CHECK_INTERVAL: Micros = 50_000;
+const CHECK_INTERVAL: Micros = 50 * MILLISECOND;
 /// No set-up is sent on an idle connection that its switch is expected to close within this time, or within a
 /// quarter of the idle time-out if that is shorter.
-const MAX_IDLE_CLOSE_MARGIN: Micros = 1_000_000;
-/// The result code in an `ECHO`.
+const MAX_IDLE_CLOSE_MARGIN: Micros = SECOND;
+/// The `result_code` of every probe (`ECHO`).
 const PROBE_RESULT_CODE: u8 = 0;
-/// The result code in an `ECHOED` if the probe passed.
+/// The `result_code` of a probe's result (`ECHOED`) if the probe passed.
 const PROBE_PASSED_RESULT_CODE: u8 = 1;
 
 enum ConnectionState {
@@ -124,8 +136,8 @@
     pending_releases: Vec<Tag>,
     /// Delay after the next failed attempt to connect.
     reconnect_delay: Micros,
-    /// When a message was last received from the switch, or a connection to it established. While it has no
-    /// calls, the time of the last check: it then has no reason to send anything.
+    /// When a message was last received from the switch, or a connection to it established. While the
+    /// switch has no calls, this is set to the time of each check, since no message is expected.
     silent_since: Micros,
     /// When the next check of the open connection is due.
     next_check_at: Micros,
@@ -283,8 +295,9 @@
         // A switch may have taken over the address of another one while the list still names both. Messages
         // for the other switch must not reach the one that now has the address.
         if before.as_ref().is_none_or(|before| before.address != listed.address) {
-            let has_same_address =
-                |(_, s): &(&SwitchId, &Switch)| s.has_address() && s.listed.address == listed.address;
+            let has_same_address = |(_, other): &(&SwitchId, &Switch)| {
+                other.has_address() && other.listed.address == listed.address
+            };
             let others = self.switches.by_id.iter().filter(|(other, _)| **other != id);
             let displaced: Vec<SwitchId> = others.filter(has_same_address).map(|(other, _)| *other).collect();
             for other_id in displaced {
@@ -294,7 +307,7 @@
                     listed.name,
                     other.map_or("", |other| &other.listed.name)
                 ));
-                self.close_switch_connection(other_id);
+                self.close_switch_connections(other_id);
                 self.call_control.handle_switch_down(now, other_id, now);
                 if let Some(other) = self.switches.by_id.get_mut(&other_id) {
                     other.listed.address = None;
@@ -337,7 +350,7 @@
             _ => false,
         });
         if opened_before_restart || before.address != listed.address {
-            self.close_switch_connection(id);
+            self.close_switch_connections(id);
             self.connect_switch(id);
         }
     }
@@ -348,7 +361,7 @@
         if self.switches.by_id.contains_key(&id) {
             log(&format!("switch {name} is Gone"));
         }
-        self.close_switch_connection(id);
+        self.close_switch_connections(id);
         self.call_control.handle_switch_down(now, id, now);
         self.switches.by_id.remove(&id);
         self.switches.ids_by_name.remove(name);
@@ -375,7 +388,7 @@
             // The set-up would be lost if the switch closed the idle connection while the set-up is on its
             // way, so it is sent on a new connection. Its attempt already counts as sent at `now`. The end of
             // the idle connection must not end that attempt, only those sent earlier.
-            self.end_switch_connection(id, now, now - 1);
+            self.close_switch_connections_keeping_attempts_after(id, now, now - 1);
         }
         let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
         if let ConnectionState::Open(open) = &mut switch.state {
@@ -431,7 +444,7 @@
         let unreachable_since = *switch.unreachable_since.get_or_insert(now);
         let reconnect_at = now + switch.reconnect_delay;
         switch.reconnect_delay = (switch.reconnect_delay * 2).min(MAX_RECONNECT_DELAY);
-        self.close_switch_connection_and_reconnect_at(id, reconnect_at);
+        self.close_switch_connections_until(id, reconnect_at);
         if now - unreachable_since >= UNREACHABLE_TIMEOUT {
             self.call_control.handle_switch_down(now, id, now);
         }
@@ -484,7 +497,7 @@
             // or the switch has been silent since then.
             _ => self.close_candidate_connection(id),
         }
-        // The silence would have ended if a candidate connection had been established in this time.
+        // Establishing a candidate connection resets `silent_since`, so none was established in this time.
         if silent_for >= SILENCE_TIMEOUT + UNREACHABLE_TIMEOUT {
             return self.handle_silent_switch(id);
         }
@@ -521,7 +534,7 @@
         // The switch counts as unreachable since the silence began, so that attempts to connect need not fail
         // for another `UNREACHABLE_TIMEOUT` before its calls are released.
         switch.unreachable_since = Some(switch.silent_since);
-        self.close_switch_connection_and_reconnect_at(id, now);
+        self.close_switch_connections_until(id, now);
         self.call_control.handle_switch_down(now, id, now);
     }
 
@@ -609,22 +622,24 @@
 
     /// Closes all connections to a switch and ends all attempts there. The next attempt to connect is due at
     /// once.
-    pub(super) fn close_switch_connection(&mut self, id: SwitchId) {
+    pub(super) fn close_switch_connections(&mut self, id: SwitchId) {
         let now = self.clock.now();
-        self.close_switch_connection_and_reconnect_at(id, now);
+        self.close_switch_connections_until(id, now);
     }
 
     /// Closes all connections to a switch and ends all attempts there. The next attempt to connect is due at
     /// `reconnect_at`.
-    fn close_switch_connection_and_reconnect_at(&mut self, id: SwitchId, reconnect_at: Micros) {
+    fn close_switch_connections_until(&mut self, id: SwitchId, reconnect_at: Micros) {
         let now = self.clock.now();
-        self.end_switch_connection(id, reconnect_at, now);
+        self.close_switch_connections_keeping_attempts_after(id, reconnect_at, now);
     }
 
     /// Closes all connections to a switch. Ends the attempts that were sent on the open one at `sent_until`
     /// or earlier, those sent on the replaced one, and those whose set-ups are queued. A connection that is
     /// open or being established is closed nowhere else.
-    fn end_switch_connection(&mut self, id: SwitchId, reconnect_at: Micros, sent_until: Micros) {
+    fn close_switch_connections_keeping_attempts_after(
+        &mut self, id: SwitchId, reconnect_at: Micros, sent_until: Micros,
+    ) {
         let Some(switch) = self.switches.by_id.get_mut(&id) else { return };
         match std::mem::replace(&mut switch.state, ConnectionState::Closed { reconnect_at }) {
             ConnectionState::Open(open) => {
@@ -679,7 +694,7 @@
         let result = messages.try_for_each(|message| self.handle_switch_message(now, id, message));
         if let Err(error) = result.and(input.decode_result) {
             log(&format!("switch {name} sent {error}: its connection is closed"));
-            return self.close_switch_connection_and_reconnect_at(id, now + MIN_RECONNECT_DELAY);
+            return self.close_switch_connections_until(id, now + MIN_RECONNECT_DELAY);
         }
         match input.status {
             ReadStatus::WouldBlock => {}
@@ -688,7 +703,7 @@
                 let closed_by_switch = input.status == ReadStatus::EndOfStream;
                 let outcome = if closed_by_switch { "was closed by the switch" } else { "failed" };
                 log(&format!("switch {name}: the connection {outcome}"));
-                self.close_switch_connection_and_reconnect_at(id, now);
+                self.close_switch_connections_until(id, now);
             }
         }
     }
@@ -783,7 +798,7 @@
 
 /// Sets the time left until the attempt times out, in whole milliseconds and at least 1.
 fn set_time_left(message: &mut Message, time_left: Micros) -> &Message {
-    message.fields.insert("left".into(), (time_left / 1000).max(1).to_string().into());
+    message.fields.insert("left".into(), (time_left / MILLISECOND).max(1).to_string().into());
     message
 }
 
