--- a/src/call.rs
+++ b/src/call.rs
@@ -102,8 +102,8 @@
     pub destination: ExchangeNumber,
     /// How many circuits the call takes.
     pub circuits: f64,
-    /// The tandem that the caller was advised to use or, in transit, the exchange from which the call comes;
-    /// -1 if there is none.
+    /// A tandem that is advised for the call; for a transit call the exchange that passed it on; -1 if there
+    /// is none.
     pub via_exchange: ExchangeNumber,
     /// The call is passed on by another gatekeeper.
     pub transit: bool,
@@ -504,11 +504,7 @@
                     // The caller's session description is no longer needed, and an answered call may last
                     // long.
                     self.description_bytes -= call.session_description.take().map_or(0, |text| text.len());
-                    self.pending_events.push(Event::Established {
-                        call: id,
-                        attempt: attempt_number,
-                        set_up_delay,
-                    });
+                    self.pending_events.push(Event::CallAnswered { call: id, attempt_number, set_up_delay });
                     let connection = call.connection;
                     return self.commands.push(Command::Answer { connection, tag, session_description });
                 }
@@ -549,7 +545,7 @@
                 call.state = CallState::Unanswered(None);
                 self.pending_events.push(Event::AttemptEnded(AttemptEnd {
                     call: id,
-                    attempt: number,
+                    attempt_number: number,
                     switch,
                     outcome,
                     reason: release.reason,
@@ -669,7 +665,7 @@
         });
         self.pending_events.push(Event::AttemptEnded(AttemptEnd {
             call: id,
-            attempt: attempt_number,
+            attempt_number,
             switch,
             outcome,
             reason: EndReason::Unknown,
@@ -743,7 +739,7 @@
                     self.reject_call(now, call, cause::CONGESTION, back_off);
                 }
                 Action::Fail(call) => self.reject_call(now, call, cause::TEMPORARY_FAILURE, 0),
-                Action::Cancel { call: id, attempt: number } => {
+                Action::Cancel { call: id, attempt_number: number } => {
                     let Some(call) = self.calls.get_mut(&id) else { continue };
                     let CallState::Unanswered(Some(attempt)) = &call.state else { continue };
                     if attempt.number == number {
@@ -830,11 +826,11 @@
     /// Reports the end of an attempt to the controller. `call_closed` tells it that there is nothing more
     /// to do for the call.
     fn push_attempt_end(
-        &mut self, call: CallId, attempt: u32, switch: SwitchId, outcome: Outcome, call_closed: bool,
+        &mut self, call: CallId, attempt_number: u32, switch: SwitchId, outcome: Outcome, call_closed: bool,
     ) {
         self.pending_events.push(Event::AttemptEnded(AttemptEnd {
             call,
-            attempt,
+            attempt_number,
             switch,
             outcome,
             reason: EndReason::Unknown,
--- a/src/control.rs
+++ b/src/control.rs
@@ -3,7 +3,7 @@
 //!
 //! A call leaves by the processor of the own exchange (the own processor) and is set up at a carrier switch,
 //! whose processor is the far processor. The pressure on a processor is 1 - d0/d: d is its present set-up
-//! delay and d0 its base delay, the delay without load.
+//! delay and d0 its base delay, the delay without load. A set-up delay runs from the set-up to its answer.
 //!
 //! The usual path of a call: for the own processor and for each far processor, a PI loop on the pressure sets
 //! the share of new calls that are rejected before a set-up is sent (the reject ratio). While that share is
@@ -31,10 +31,11 @@
 
 /// Control period of both PI loops.
 const CONTROL_PERIOD: Micros = 20 * MS;
-/// Target of the pressure (CT, 0.8 or 0.9): at 0.7 a set-up may take 3.3 times the base delay before calls
-/// are rejected.
+/// Target of the pressure. 0.7: a set-up may take 3.3 times the base delay before calls are rejected. The
+/// paper (CT) names 0.8 or 0.9.
 const TARGET_PRESSURE: f64 = 0.7;
-/// Proportional gain of the reject ratio, and its integral gain per second (Kpc = Kic).
+/// Gain of the reject ratio (Kpc = Kic), used both as the proportional gain, which has no unit, and as the
+/// integral gain, which is per second.
 const REJECT_RATIO_GAIN: f64 = 5.0;
 /// Upper limit of the reject ratio.
 const MAX_REJECT_RATIO: f64 = 0.9;
@@ -53,27 +54,29 @@
 const BASE_DELAY_WINDOW: Micros = 60 * SECOND;
 /// Proportional gain of the hold's drain rate (Kpq): calls per second for each held call above the target.
 const DRAIN_PROPORTIONAL_GAIN: f64 = 20.0;
-/// Integral gain of the hold's drain rate (Kiq), per second.
+/// Integral gain of the hold's drain rate (Kiq): calls per second, per second, for each held call above the
+/// target.
 const DRAIN_INTEGRAL_GAIN: f64 = 130.0;
 /// Target of the waiting time in the hold (T̄q).
 const HOLD_TARGET_WAIT_S: f64 = 0.05;
-/// Time constant of the rate of calls offered to the hold (τ).
-const HOLD_RATE_TIME_CONSTANT_S: f64 = 0.4;
+/// Time constant of the rate of admitted calls (τ).
+const ADMITTED_RATE_TIME_CONSTANT_S: f64 = 0.4;
 
 // Parameters that the paper leaves open.
 
-/// Delay sample of a set-up that was not answered, or was released because a processor was congested. Its
-/// product with `QUICK_ANSWER_FACTOR` does not overflow.
+/// Delay sample of a set-up that timed out, could not be delivered or met a congested processor. Where there
+/// are no classes, it stands for "no set-up target". Its product with `QUICK_ANSWER_FACTOR` does not
+/// overflow.
 const INFINITE_DELAY: Micros = Micros::MAX / 4;
 /// Shortest time for which a delay sample is used; with little traffic the time is longer.
 const MIN_SAMPLE_LIFETIME: Micros = 3 * SECOND;
 /// Longest time for which a delay sample is used.
 const MAX_SAMPLE_LIFETIME: Micros = 12 * SECOND;
-/// Most samples that are needed to know a delay. Where fewer calls than this come within the sample lifetime,
-/// the number of those calls is enough, but at least one sample.
+/// Number of samples required for a delay; with little traffic the number of calls expected within the sample
+/// lifetime, at least 1.
 const MAX_REQUIRED_SAMPLES: usize = 3;
-/// Quantile of the set-up delays that is used for far processors.
-const MEDIAN: f64 = 0.5;
+/// Quantile of the set-up delays to a far processor that is taken for its delay.
+const FAR_PROCESSOR_QUANTILE: f64 = 0.5;
 /// Quantile of the set-up delays to all far processors that is taken for the delay of the own processor. It
 /// is low enough that a single slow far processor does not raise it.
 const OWN_PROCESSOR_QUANTILE: f64 = 0.25;
@@ -101,9 +104,9 @@
 const TANDEM_SET_UP_FACTOR: f64 = 1.5;
 /// Attempts in a row without a response after which a processor is suspected to be down.
 const MISSED_RESPONSES_UNTIL_SUSPECTED: u32 = 2;
-/// First interval between trial calls to a suspected processor, as a share of the shortest set-up target. A
-/// fixed interval of seconds would, with a target of half a second, lead to the rejection of nearly all calls
-/// after a short silence.
+/// First interval between trial calls to a suspected processor, as a share of the shortest set-up target. The
+/// interval shortens with the target: where the target is half a second, intervals of seconds would reject
+/// nearly all calls after a short silence.
 const FIRST_TRIAL_INTERVAL_SHARE: f64 = 4.0 / 15.0;
 /// Longest interval between trial calls, as a share of the shortest set-up target.
 const MAX_TRIAL_INTERVAL_SHARE: f64 = 4.0 / 3.0;
@@ -113,16 +116,17 @@
 /// A processor answers quickly if this multiple of its delay is less than the time available.
 const QUICK_ANSWER_FACTOR: Micros = 4;
 /// Most by which a surge of traffic raises the calls allowed to a cold processor, as a multiple of its warm
-/// traffic. The processor also originates calls itself: they are part of its capacity but not of this
-/// traffic, which leaves the margin.
+/// traffic. The processor's capacity also covers calls that it originates itself, which this traffic does not
+/// include, so it bears more than its warm traffic.
 const MAX_COLD_SURGE: f64 = 1.8;
 /// Back-off sent with a rejection, as a share of the set-up target, so that a redial can still meet the
-/// target of the first try.
+/// target, which runs from the first try. A busy number gets the longest back-off instead.
 const BACK_OFF_TARGET_SHARE: f64 = 0.25;
 /// If no event was handled for this long although a tick was due, this process itself was stalled.
 const STALL_TIME: Micros = 10 * CONTROL_PERIOD;
 /// A call to the same number within this time of the first try of a call that was not answered is taken
-/// for its redial. Callers that do not mark their redials would otherwise get the full value of a first try.
+/// for its redial. Callers that do not mark their redials would otherwise get the full value of a call
+/// for which no earlier try is known.
 const REDIAL_WINDOW: Micros = 10 * SECOND;
 /// How long no calls are sent to a number whose lines were all busy.
 const MIN_BUSY_NUMBER_WAIT: Micros = SECOND;
@@ -159,7 +163,7 @@
 }
 
 /// A rate per second, averaged exponentially. Each rate is always read and updated with the same time
-/// constant.
+/// constant. `value_per_s` is the value at `updated_at`, without the decay since.
 #[derive(Default)]
 struct AverageRate {
     value_per_s: f64,
@@ -185,10 +189,10 @@
     Held,
     /// An attempt is in progress.
     Attempting { switch: SwitchId, sent_at: Micros, tandem: bool },
-    /// Waits for `Call::release_until` before the next attempt.
+    /// Waits for `Call::next_attempt_not_before` before the next attempt.
     AwaitingRelease,
     /// The call is answered.
-    Established,
+    Answered,
 }
 
 /// When and where an attempt was sent.
@@ -202,13 +206,14 @@
     /// When the caller first tried, as far as is known.
     first_tried_at: Micros,
     state: CallState,
-    attempts: u32,
+    /// Number of attempts sent.
+    attempt_count: u32,
     /// Exchanges that attempts were sent to, directly or as tandem.
     tried_exchanges: Vec<ExchangeNumber>,
     /// No new attempt is sent before this time: the switch may still have to release the last one.
-    release_until: Micros,
-    /// The first attempt that the far processor may have executed.
-    maybe_executed: Option<SentAttempt>,
+    next_attempt_not_before: Micros,
+    /// The first attempt whose set-up the far processor may have acted on.
+    maybe_processed: Option<SentAttempt>,
 }
 
 /// State of an exchange, whichever processor serves it.
@@ -218,12 +223,13 @@
     switch_in_service: Option<SwitchId>,
     /// Direct calls that found no free circuit.
     blocked_calls: AverageRate,
-    /// First tries of calls to this exchange.
+    /// Calls to this exchange for which no earlier try is known.
     offered_calls: AverageRate,
-    /// First tries while the processor was warm, averaged over a longer time.
+    /// Those of them that came while the processor was warm, averaged over a longer time.
     warm_calls: AverageRate,
-    /// Seconds of warm time, averaged likewise: `warm_calls / warm_seconds` is the rate of calls when warm.
-    warm_seconds: AverageRate,
+    /// Average share of time in which the processor was warm, over the same longer time:
+    /// `warm_calls / warm_share` is the rate of calls while warm.
+    warm_share: AverageRate,
     /// Calls that this gatekeeper may send to a cold processor, as of `cold_budget_at`.
     cold_budget_calls: f64,
     cold_budget_at: Micros,
@@ -370,7 +376,7 @@
         self.reject_ratio = ratio.max(self.reject_ratio - MAX_REJECT_RATIO_FALL_PER_S * period_s);
 
         let held_calls = self.hold.len() as f64;
-        let admitted_per_s = self.admitted_calls.read(now, HOLD_RATE_TIME_CONSTANT_S);
+        let admitted_per_s = self.admitted_calls.read(now, ADMITTED_RATE_TIME_CONSTANT_S);
         let target_held_calls = HOLD_TARGET_WAIT_S * admitted_per_s;
         let excess_calls = held_calls - target_held_calls;
         // While calls are rejected, at most one call leaves the hold in a control period.
@@ -481,8 +487,9 @@
     rng: ChaCha8Rng,
     calls: BTreeMap<CallId, Call>,
     switches: BTreeMap<SwitchId, Switch>,
-    /// The own processor. It is not measured itself; its delay is what the set-ups to all switches have in
-    /// common.
+    /// The own processor. Its delay is not measured directly; it is the `OWN_PROCESSOR_QUANTILE` of the
+    /// set-up delays to all switches, each taken relative to the switch's base delay (see
+    /// `record_set_up_delay`).
     own_processor: OverloadControl,
     /// When a call was last answered.
     last_answered_at: Micros,
@@ -495,7 +502,7 @@
     unsuccessful_numbers: BTreeMap<String, Micros>,
     /// Calls offered, by value in thousandths, the lowest first.
     offered_by_value: BTreeMap<i64, AverageRate>,
-    /// First tries of the calls of each tenant.
+    /// Calls of each tenant for which no earlier try is known.
     tenant_calls: Vec<AverageRate>,
     /// Calls over a tandem that showed whether the second leg, from the tandem to the destination, had room.
     second_leg_attempts: AverageRate,
@@ -550,8 +557,8 @@
         match event {
             Event::SwitchList(update) => self.on_switch_list(now, update, actions),
             Event::NewCall(request) => self.on_new_call(now, request, actions),
-            Event::Established { call, attempt, set_up_delay } => {
-                self.on_established(now, call, attempt, set_up_delay, actions);
+            Event::CallAnswered { call, attempt_number, set_up_delay } => {
+                self.on_call_answered(now, call, attempt_number, set_up_delay, actions);
             }
             Event::AttemptEnded(end) => self.on_attempt_ended(now, end, actions),
             Event::CallerGone(call) => self.remove_call(call),
@@ -737,8 +744,8 @@
 
     /// Upper bound of the base delay, so that a base delay learned during an overload does not hide the
     /// overload. With this bound, the delay at the target pressure is at most a third of the shortest
-    /// set-up target, and at most the time until a set-up is first retransmitted: retransmissions of waiting
-    /// set-ups add to the load.
+    /// set-up target, and at most the time after which a sender repeats a waiting set-up: repeated set-ups
+    /// add to the load.
     fn max_base_delay(&self) -> Micros {
         let targets = self.settings.classes.iter().map(|class| class.set_up_target / 3);
         let third_of_target = targets.min().unwrap_or(INFINITE_DELAY);
@@ -765,7 +772,12 @@
             let overdue_at_switch: Vec<Micros> = far_delays.filter(|delay| *delay > overdue_after).collect();
             let exchange = &self.exchanges[&switch.entry.exchange_number];
             switch.overload.adapt_to_traffic(exchange.offered_calls.read(now, TRAFFIC_TIME_CONSTANT_S));
-            let pressure = switch.overload.measure_pressure(now, &overdue_at_switch, MEDIAN, max_base_delay);
+            let pressure = switch.overload.measure_pressure(
+                now,
+                &overdue_at_switch,
+                FAR_PROCESSOR_QUANTILE,
+                max_base_delay,
+            );
             switch.overload.run_control_period(now, pressure);
             switch.overload.drain_hold(&mut drained);
         }
@@ -800,12 +812,15 @@
 
     fn on_call_timer(&mut self, now: Micros, kind: u64, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        if kind == TIMER_RETRY && call.state == CallState::AwaitingRelease && now >= call.release_until {
+        if kind == TIMER_RETRY
+            && call.state == CallState::AwaitingRelease
+            && now >= call.next_attempt_not_before
+        {
             call.state = CallState::Unrouted;
             self.route(now, id, actions);
-        } else if kind == TIMER_DEADLINE && call.state != CallState::Established {
+        } else if kind == TIMER_DEADLINE && call.state != CallState::Answered {
             if matches!(call.state, CallState::Attempting { .. }) && self.settings.may_cancel {
-                actions.push(Action::Cancel { call: id, attempt: call.attempts - 1 });
+                actions.push(Action::Cancel { call: id, attempt_number: call.attempt_count - 1 });
             }
             self.reject_or_fail(id, false, actions);
         }
@@ -827,18 +842,18 @@
         let earlier_try_at = self.unsuccessful_numbers.remove(&request.called_number);
         let recent_try_at = earlier_try_at.filter(|tried_at| !transit && now < tried_at + REDIAL_WINDOW);
         let first_tried_at = recent_try_at.unwrap_or(now);
-        let is_first_try = first_tried_at == now;
+        let no_earlier_try_known = first_tried_at == now;
         let call = Call {
             request,
             first_tried_at,
             state: CallState::Unrouted,
-            attempts: 0,
+            attempt_count: 0,
             tried_exchanges: vec![],
-            release_until: 0,
-            maybe_executed: None,
+            next_attempt_not_before: 0,
+            maybe_processed: None,
         };
         let value = self.call_value(now, &call);
-        if !transit && is_first_try {
+        if !transit && no_earlier_try_known {
             let tenant_calls = call.request.tenant_index.and_then(|tenant| self.tenant_calls.get_mut(tenant));
             tenant_calls.into_iter().for_each(|rate| rate.add(now, TRAFFIC_TIME_CONSTANT_S, 1.0));
         }
@@ -850,8 +865,8 @@
             return self.route(now, id, actions);
         }
         if via_exchange >= 0 {
-            // The routing centre's advice is seconds old. It counts as a group seen with room, unless that
-            // group was found full since.
+            // The advice is seconds old. It counts as a group seen with room, unless that group was found
+            // full since.
             let group = self.remote_groups.get(&group_key(via_exchange, destination));
             if group.is_none_or(|group| group.had_room || group.valid_until < now) {
                 self.record_remote_group(now, via_exchange, destination, true);
@@ -863,13 +878,13 @@
         self.offered_by_value.entry(value).or_default().add(now, TRAFFIC_TIME_CONSTANT_S, 1.0);
         let switch = &self.switches[&switch_id];
         let is_cold = switch.is_cold(now, &self.settings);
-        let first_tries = f64::from(is_first_try);
+        let calls_without_earlier_try = f64::from(no_earlier_try_known);
         let exchange = self.exchanges.entry(destination).or_default();
-        exchange.offered_calls.add(now, TRAFFIC_TIME_CONSTANT_S, first_tries);
-        let warm_calls = if is_cold { 0.0 } else { first_tries };
-        let warm_time = if is_cold { 0 } else { now - exchange.warm_seconds.updated_at.max(self.started_at) };
+        exchange.offered_calls.add(now, TRAFFIC_TIME_CONSTANT_S, calls_without_earlier_try);
+        let warm_calls = if is_cold { 0.0 } else { calls_without_earlier_try };
+        let warm_time = if is_cold { 0 } else { now - exchange.warm_share.updated_at.max(self.started_at) };
         exchange.warm_calls.add(now, WARM_TRAFFIC_TIME_CONSTANT_S, warm_calls);
-        exchange.warm_seconds.add(now, WARM_TRAFFIC_TIME_CONSTANT_S, warm_time as f64 / 1e6);
+        exchange.warm_share.add(now, WARM_TRAFFIC_TIME_CONSTANT_S, warm_time as f64 / 1e6);
         // The reject ratio of a suspected processor does not apply to trial calls: the processor has had no
         // samples.
         let is_trial = switch.suspected && switch.is_trial_due(now);
@@ -879,8 +894,8 @@
             return self.reject_or_fail(id, false, actions);
         }
         let switch = self.switches.get_mut(&switch_id).expect("a switch in service is known");
-        switch.overload.admitted_calls.add(now, HOLD_RATE_TIME_CONSTANT_S, 1.0);
-        self.own_processor.admitted_calls.add(now, HOLD_RATE_TIME_CONSTANT_S, 1.0);
+        switch.overload.admitted_calls.add(now, ADMITTED_RATE_TIME_CONSTANT_S, 1.0);
+        self.own_processor.admitted_calls.add(now, ADMITTED_RATE_TIME_CONSTANT_S, 1.0);
         if own_ratio.max(far_ratio) > 0.0 && !switch.suspected {
             let overload = if far_ratio > 0.0 { &mut switch.overload } else { &mut self.own_processor };
             overload.hold.push_back(id);
@@ -895,9 +910,11 @@
     fn call_value(&self, now: Micros, call: &Call) -> i64 {
         let class = &self.settings.classes[call.request.class_index];
         let mut value = class.value;
-        // A redial whose first try is not known counts as late.
-        let is_first_try = call.attempts == 0 && call.first_tried_at == now;
-        if now >= call.first_tried_at + class.set_up_target || (call.request.redial && is_first_try) {
+        // A redial for which no earlier try is known counts as late at the time at which it arrives.
+        let arrives_without_earlier_try = call.attempt_count == 0 && call.first_tried_at == now;
+        if now >= call.first_tried_at + class.set_up_target
+            || (call.request.redial && arrives_without_earlier_try)
+        {
             value *= class.late_value_factor;
         }
         if let Some(tenant) = call.request.tenant_index.filter(|tenant| *tenant < self.tenant_calls.len()) {
@@ -951,7 +968,7 @@
 
     /// The route for a call, direct or over a tandem; `None` if there is none.
     fn choose_route(&mut self, now: Micros, id: CallId) -> Option<Route> {
-        let unknown_leg_draw = self.random_unit();
+        let random_for_unknown_second_leg = self.random_unit();
         let call = self.calls.get(&id)?;
         let destination = call.request.destination;
         let circuits = call.request.circuits;
@@ -1004,7 +1021,8 @@
             self.second_leg_attempts.read(now, TRAFFIC_TIME_CONSTANT_S) + 1.0 / TRAFFIC_TIME_CONSTANT_S;
         let successes_per_s =
             self.second_leg_successes.read(now, TRAFFIC_TIME_CONSTANT_S) + 1.0 / TRAFFIC_TIME_CONSTANT_S;
-        let may_try_unknown = call.attempts == 0 || unknown_leg_draw * attempts_per_s < successes_per_s;
+        let may_try_unknown =
+            call.attempt_count == 0 || random_for_unknown_second_leg * attempts_per_s < successes_per_s;
         let any_known = tandems.iter().any(|(_, known_room)| *known_room);
         if !may_try_unknown || self.own_processor.reject_ratio > 0.0 || any_known {
             tandems.retain(|(_, known_room)| *known_room);
@@ -1060,13 +1078,13 @@
         let class = &self.settings.classes[call.request.class_index];
         let can_be_answered =
             now + DEADLINE_MARGIN_BATCHES * self.settings.min_batch_interval < call.request.caller_deadline;
-        let is_released = now >= call.release_until;
+        let is_released = now >= call.next_attempt_not_before;
         let is_unrouted = call.state == CallState::Unrouted;
-        let has_attempts_left = call.attempts < self.settings.max_attempts;
+        let has_attempts_left = call.attempt_count < self.settings.max_attempts;
         // A transit call goes on to its destination only.
         let is_allowed_route = is_direct || (!call.request.transit && tandem);
         let is_own_exchange = exchange_number == self.settings.own_exchange && !self.settings.pool_topology;
-        let may_be_repeated = match (class.repeat_policy, &call.maybe_executed) {
+        let may_be_repeated = match (class.repeat_policy, &call.maybe_processed) {
             (RepeatPolicy::Idempotent, _) | (_, None) => true,
             (RepeatPolicy::AtMostOnce, Some(_)) => false,
             (RepeatPolicy::Deduplicated, Some(first)) => {
@@ -1112,8 +1130,8 @@
         let offered_per_s = exchange.offered_calls.read(now, TRAFFIC_TIME_CONSTANT_S);
         // The traffic is averaged over warm time alone, so that it does not fade where processors are
         // replaced one after the other and are hardly ever warm.
-        let warm_seconds = exchange.warm_seconds.value_per_s.max(1.0 / TRAFFIC_TIME_CONSTANT_S);
-        let warm_calls_per_s = exchange.warm_calls.value_per_s / warm_seconds;
+        let warm_share = exchange.warm_share.value_per_s.max(1.0 / TRAFFIC_TIME_CONSTANT_S);
+        let warm_calls_per_s = exchange.warm_calls.value_per_s / warm_share;
         // A surge of traffic at the time of the start would raise the part of every gatekeeper: it is
         // limited.
         let calls_per_s = if warm_calls_per_s > 0.0 {
@@ -1153,19 +1171,23 @@
         switch.free_circuits = switch.free_circuits.map(|free| free - call.request.circuits);
         switch.pending.push(PendingAttempt { sent_at: now, call: id });
         call.state = CallState::Attempting { switch: route.switch, sent_at: now, tandem: route.tandem };
-        call.attempts += 1;
+        call.attempt_count += 1;
         call.tried_exchanges.push(exchange_number);
         let timeout = route.timeout.max(self.settings.min_batch_interval);
         actions.push(Action::SendSetUp { call: id, switch: route.switch, timeout });
         true
     }
 
-    fn on_established(
-        &mut self, now: Micros, id: CallId, attempt: u32, set_up_delay: Micros, actions: &mut Vec<Action>,
+    fn on_call_answered(
+        &mut self, now: Micros, id: CallId, attempt_number: u32, set_up_delay: Micros,
+        actions: &mut Vec<Action>,
     ) {
-        let Some(call) = self.calls.get_mut(&id).filter(|call| attempt + 1 == call.attempts) else { return };
+        let Some(call) = self.calls.get_mut(&id).filter(|call| attempt_number + 1 == call.attempt_count)
+        else {
+            return;
+        };
         let CallState::Attempting { switch, sent_at, tandem } = call.state else { return };
-        call.state = CallState::Established;
+        call.state = CallState::Answered;
         let destination = call.request.destination;
         if tandem {
             self.record_second_leg(now, switch, destination, true);
@@ -1199,15 +1221,16 @@
             }
             return;
         };
-        if end.attempt + 1 != call.attempts {
+        if end.attempt_number + 1 != call.attempt_count {
             return;
         }
         call.state = CallState::Unrouted;
         if !matches!(outcome, Outcome::Congested | Outcome::Unreachable | Outcome::NotSent) {
-            call.maybe_executed.get_or_insert(SentAttempt { sent_at, switch });
+            call.maybe_processed.get_or_insert(SentAttempt { sent_at, switch });
         }
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            call.release_until = now + self.settings.release_wait + self.settings.min_batch_interval;
+            call.next_attempt_not_before =
+                now + self.settings.release_wait + self.settings.min_batch_interval;
         }
         let set_up_target = self.settings.classes[call.request.class_index].set_up_target;
         let time_to_target = call.first_tried_at + set_up_target - now;
@@ -1243,7 +1266,8 @@
                 attempt_again =
                     tandem || outcome == Outcome::Reset || self.answers_quickly(switch, time_to_target);
             }
-            // The group is taken for full until its free circuits are reported again.
+            // This outcome is taken to mean that the group had no free circuit, until free circuits are
+            // reported again.
             (Outcome::NotSent, reason) if !matches!(reason, EndReason::ProcessorCongested(_)) => {
                 self.switches.entry(switch).and_modify(|s| s.free_circuits = Some(0.0));
                 attempt_again = true;
@@ -1261,7 +1285,7 @@
                     self.record_second_leg(now, switch, destination, false);
                 }
                 // At most one attempt follows, even if the settings allow more.
-                attempt_again = self.calls[&id].attempts < 2;
+                attempt_again = self.calls[&id].attempt_count < 2;
             }
             (Outcome::Failed, EndReason::SubscriberBusy) => {
                 let known = self.busy_numbers.get(&called_number);
@@ -1286,9 +1310,9 @@
             return self.reject_or_fail(id, number_is_busy, actions);
         }
         let call = self.calls.get_mut(&id).expect("found above");
-        if call.release_until > now {
+        if call.next_attempt_not_before > now {
             call.state = CallState::AwaitingRelease;
-            let after = call.release_until - now;
+            let after = call.next_attempt_not_before - now;
             actions.push(Action::SetTimer { after, token: timer_token(TIMER_RETRY, id) });
         } else {
             self.route(now, id, actions);
@@ -1303,9 +1327,9 @@
         let is_deduplicated_everywhere = class.repeat_policy == RepeatPolicy::Deduplicated
             && class.deduplication_scope == DeduplicationScope::AllExchanges;
         let may_be_repeated = class.repeat_policy == RepeatPolicy::Idempotent
-            || call.maybe_executed.is_none()
+            || call.maybe_processed.is_none()
             || is_deduplicated_everywhere;
-        // An attempt in progress may still be executed.
+        // The far processor may still act on the set-up of an attempt in progress.
         let in_progress = matches!(call.state, CallState::Attempting { .. });
         if may_be_repeated && !in_progress {
             let max_back_off = if self.settings.may_send_back_off { self.settings.max_back_off } else { 0 };
@@ -1323,7 +1347,7 @@
 
     fn remove_call(&mut self, id: CallId) {
         let Some(call) = self.calls.remove(&id) else { return };
-        if call.state != CallState::Established && !call.request.transit {
+        if call.state != CallState::Answered && !call.request.transit {
             self.unsuccessful_numbers.insert(call.request.called_number, call.first_tried_at);
         }
         match call.state {
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -28,16 +28,16 @@
 #[test]
 fn pressure_is_one_minus_base_delay_over_delay_and_zero_at_the_base_delay() {
     let mut control = with_samples(100 * MS);
-    assert_close(control.measure_pressure(NOW, &[], MEDIAN, SECOND), 0.0);
+    assert_close(control.measure_pressure(NOW, &[], FAR_PROCESSOR_QUANTILE, SECOND), 0.0);
     (0..10).for_each(|_| control.add_sample(NOW, 400 * MS));
-    assert_close(control.measure_pressure(NOW, &[], MEDIAN, SECOND), 0.75);
+    assert_close(control.measure_pressure(NOW, &[], FAR_PROCESSOR_QUANTILE, SECOND), 0.75);
     // A delay below the base delay gives a pressure of 0 and becomes the base delay.
     (0..10).for_each(|_| control.add_sample(NOW, 50 * MS));
-    assert_close(control.measure_pressure(NOW, &[], MEDIAN, SECOND), 0.0);
+    assert_close(control.measure_pressure(NOW, &[], FAR_PROCESSOR_QUANTILE, SECOND), 0.0);
     assert_eq!(control.base_delay(), Some(50 * MS));
     // After a minute the base delay has expired.
     (0..10).for_each(|_| control.add_sample(NOW + 61 * SECOND, 200 * MS));
-    control.measure_pressure(NOW + 61 * SECOND, &[], MEDIAN, SECOND);
+    control.measure_pressure(NOW + 61 * SECOND, &[], FAR_PROCESSOR_QUANTILE, SECOND);
     assert_eq!(control.base_delay(), Some(200 * MS));
 }
 
@@ -46,12 +46,12 @@
     let mut control = with_traffic();
     control.add_sample(NOW, 900 * MS);
     control.add_sample(NOW, 900 * MS);
-    assert_close(control.measure_pressure(NOW, &[], MEDIAN, 100 * MS), 0.0);
+    assert_close(control.measure_pressure(NOW, &[], FAR_PROCESSOR_QUANTILE, 100 * MS), 0.0);
     control.add_sample(NOW, 900 * MS);
-    assert_close(control.measure_pressure(NOW, &[], MEDIAN, 100 * MS), 1.0 - 1.0 / 9.0);
-    assert_close(control.measure_pressure(NOW + 4 * SECOND, &[], MEDIAN, 100 * MS), 0.0);
+    assert_close(control.measure_pressure(NOW, &[], FAR_PROCESSOR_QUANTILE, 100 * MS), 1.0 - 1.0 / 9.0);
+    assert_close(control.measure_pressure(NOW + 4 * SECOND, &[], FAR_PROCESSOR_QUANTILE, 100 * MS), 0.0);
     let mut control = with_samples(INFINITE_DELAY);
-    assert!(control.measure_pressure(NOW, &[], MEDIAN, 100 * MS) > 0.999);
+    assert!(control.measure_pressure(NOW, &[], FAR_PROCESSOR_QUANTILE, 100 * MS) > 0.999);
 }
 
 #[test]
@@ -119,6 +119,9 @@
     let mut control = OverloadControl::default();
     control.adapt_to_traffic(0.1);
     control.add_sample(NOW, 900 * MS);
-    assert_close(control.measure_pressure(NOW + 8 * SECOND, &[], MEDIAN, 100 * MS), 1.0 - 1.0 / 9.0);
-    assert_close(control.measure_pressure(NOW + 13 * SECOND, &[], MEDIAN, 100 * MS), 0.0);
+    assert_close(
+        control.measure_pressure(NOW + 8 * SECOND, &[], FAR_PROCESSOR_QUANTILE, 100 * MS),
+        1.0 - 1.0 / 9.0,
+    );
+    assert_close(control.measure_pressure(NOW + 13 * SECOND, &[], FAR_PROCESSOR_QUANTILE, 100 * MS), 0.0);
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -23,7 +23,7 @@
     Idempotent,
     /// Switches discard repeated attempts within a [`DeduplicationScope`] and a time window.
     Deduplicated,
-    /// May be repeated only when every earlier attempt is known not to have been executed.
+    /// May be repeated only when it is known that no switch has acted on the set-up of an earlier attempt.
     AtMostOnce,
 }
 
@@ -32,7 +32,9 @@
 pub enum DeduplicationScope {
     /// All switches.
     AllExchanges,
-    /// The switches in the zone of the first attempt.
+    /// The switches in the zone of the first attempt. A zone is a named group of switches: the switch list
+    /// gives the zone of each switch, and the setting `failureDomains` lists the names of the zones. All
+    /// zones that it does not list count as one.
     Zone,
     /// The switches of the exchange of the first attempt.
     Exchange,
@@ -88,7 +90,8 @@
     /// Shortest time between the end of an attempt that may still be in progress at its switch and the next
     /// attempt.
     pub release_wait: Micros,
-    /// A set-up that is still waiting is sent again after this time; 0 means never.
+    /// A sender repeats a set-up that is still waiting after this time; 0 means never. This program does not
+    /// repeat set-ups.
     pub retransmit_after: Micros,
     /// Shortest time between two batches of events.
     pub min_batch_interval: Micros,
@@ -104,7 +107,7 @@
     pub may_send_back_off: bool,
     /// Longest back-off that callers comply with.
     pub max_back_off: Micros,
-    /// How long an exchange may still be sent new calls after it has begun to drain.
+    /// How long a switch may still be sent new calls after it has begun to drain.
     pub drain_grace: Micros,
     /// Share of its capacity that a cold processor starts with.
     pub cold_capacity_share: f64,
@@ -183,7 +186,7 @@
 pub enum Outcome {
     /// The call was answered and has ended.
     Completed,
-    /// All lines of the called number are busy, or there was a signalling fault.
+    /// Released with any other cause, for example user busy.
     Failed,
     /// A tandem, a processor or a pool had no capacity for the call.
     Congested,
@@ -195,7 +198,9 @@
     Reset,
     /// Cancelled, or released by the caller.
     Cancelled,
-    /// The set-up was never sent, or the switch released it with cause 102 (timer expiry).
+    /// The set-up was not processed: the switch released it with cause 102 (timer expiry), or the call
+    /// already had an attempt in progress or an answer. A set-up without a connection is
+    /// [`Outcome::Unreachable`].
     NotSent,
 }
 
@@ -234,8 +239,8 @@
     pub destination: ExchangeNumber,
     /// Number of circuits that it takes.
     pub circuits: f64,
-    /// The tandem that the routing centre advises; for a transit call the exchange that it came from; -1 if
-    /// there is none.
+    /// A tandem that is advised for the call; for a transit call the exchange that passed it on; -1 if there
+    /// is none.
     pub via_exchange: ExchangeNumber,
     /// The caller is known to be redialling.
     pub redial: bool,
@@ -249,14 +254,14 @@
     /// The call.
     pub call: CallId,
     /// Number of the attempt, from 0.
-    pub attempt: u32,
+    pub attempt_number: u32,
     /// The switch that the set-up was sent to.
     pub switch: SwitchId,
     /// How it ended.
     pub outcome: Outcome,
     /// Why it ended.
     pub reason: EndReason,
-    /// The call is over: the controller owes it no further action.
+    /// The call is over: the controller takes no further action for it.
     pub call_closed: bool,
     /// The load that the switch reports.
     pub report: LoadReport,
@@ -270,17 +275,17 @@
     /// A call to decide on.
     NewCall(NewCall),
     /// A call was answered.
-    Established {
+    CallAnswered {
         /// The call.
         call: CallId,
         /// Number of the attempt, from 0.
-        attempt: u32,
+        attempt_number: u32,
         /// The set-up delay: the time from the set-up to its answer.
         set_up_delay: Micros,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The caller has gone: the controller owes the call no further action.
+    /// The caller has gone: the controller takes no further action for the call.
     CallerGone(CallId),
     /// A timer of the controller has expired; carries the token of [`Action::SetTimer`].
     Timer(u64),
@@ -288,7 +293,7 @@
     SwitchStatus {
         /// The switch.
         switch: SwitchId,
-        /// The probe was answered.
+        /// The probe was answered and passed; always true for an unsolicited report.
         answered: bool,
         /// How long the probe took; 0 for an unsolicited report.
         round_trip: Micros,
@@ -330,7 +335,7 @@
         /// The call.
         call: CallId,
         /// Number of the attempt, from 0.
-        attempt: u32,
+        attempt_number: u32,
     },
     /// Probe a switch.
     Probe(SwitchId),
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -331,13 +331,13 @@
         }
         "FIRST_BYTE" => {
             let call = CallId(message.parse("rid")?);
-            let attempt = message.parse("sendNo")?;
+            let attempt_number = message.parse("sendNo")?;
             message.parse::<u64>("exchange")?;
-            Event::Established { call, attempt, set_up_delay: message.seconds("waitTimeS")? }
+            Event::CallAnswered { call, attempt_number, set_up_delay: message.seconds("waitTimeS")? }
         }
         "COMPLETED" => {
             let call = CallId(message.parse("rid")?);
-            let attempt = message.parse("sendNo")?;
+            let attempt_number = message.parse("sendNo")?;
             let switch = SwitchId(message.parse("exchange")?);
             let outcome = parse_outcome(message, "outcome")?;
             message.seconds("waitTimeS")?;
@@ -353,7 +353,15 @@
                 _ => EndReason::Unknown,
             };
             let report = message.load_report("stats")?;
-            Event::AttemptEnded(AttemptEnd { call, attempt, switch, outcome, reason, call_closed, report })
+            Event::AttemptEnded(AttemptEnd {
+                call,
+                attempt_number,
+                switch,
+                outcome,
+                reason,
+                call_closed,
+                report,
+            })
         }
         "CANCELLED_BY_CLIENT" => Event::CallerGone(CallId(message.parse("rid")?)),
         "DEADLINE_HIT" => Event::Timer(message.parse("ref")?),
@@ -412,8 +420,8 @@
                 writeln!(reply, "REJECT\t{instance_id}\t{}\t{}", call.0, seconds(*back_off))
             }
             Action::Fail(call) => writeln!(reply, "GIVE_UP\t{instance_id}\t{}", call.0),
-            Action::Cancel { call, attempt } => {
-                writeln!(reply, "CALL_OFF\t{instance_id}\t{}\t{attempt}", call.0)
+            Action::Cancel { call, attempt_number } => {
+                writeln!(reply, "CALL_OFF\t{instance_id}\t{}\t{attempt_number}", call.0)
             }
             Action::Probe(switch) => writeln!(reply, "POLL\t{instance_id}\t{}", switch.0),
             Action::Subscribe => writeln!(reply, "STREAM_CHANGES\t{instance_id}\t1"),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -89,7 +89,7 @@
 #[allow(dead_code)]
 pub struct PendingAttempt {
     pub call: u64,
-    pub attempt: u32,
+    pub attempt_number: u32,
     pub switch: u64,
     pub times_out_at: Micros,
 }
@@ -212,7 +212,7 @@
                     let attempt_count = self.attempt_counts.entry(call.0).or_insert(0);
                     self.pending.push(PendingAttempt {
                         call: call.0,
-                        attempt: *attempt_count,
+                        attempt_number: *attempt_count,
                         switch: switch.0,
                         times_out_at: self.now + timeout,
                     });
@@ -316,25 +316,26 @@
         self.pending.iter().any(|pending| pending.call == id)
     }
 
-    pub fn establish(&mut self, id: u64, attempt: u32, set_up_delay: Micros) {
+    pub fn answer(&mut self, id: u64, attempt_number: u32, set_up_delay: Micros) {
         self.pending.retain(|pending| pending.call != id);
-        self.handle(Event::Established { call: CallId(id), attempt, set_up_delay });
+        self.handle(Event::CallAnswered { call: CallId(id), attempt_number, set_up_delay });
     }
 
-    /// Establishes a call if an attempt of it is in progress.
-    pub fn establish_if_pending(&mut self, id: u64, set_up_delay: Micros) {
+    /// Answers a call if an attempt of it is in progress.
+    pub fn answer_if_pending(&mut self, id: u64, set_up_delay: Micros) {
         if let Some(pending) = self.pending.iter().find(|pending| pending.call == id).copied() {
-            self.establish(id, pending.attempt, set_up_delay);
+            self.answer(id, pending.attempt_number, set_up_delay);
         }
     }
 
     pub fn end_attempt(
-        &mut self, id: u64, attempt: u32, switch: u64, outcome: Outcome, reason: EndReason, call_closed: bool,
+        &mut self, id: u64, attempt_number: u32, switch: u64, outcome: Outcome, reason: EndReason,
+        call_closed: bool,
     ) {
         self.pending.retain(|pending| pending.call != id);
         self.handle(Event::AttemptEnded(AttemptEnd {
             call: CallId(id),
-            attempt,
+            attempt_number,
             switch: SwitchId(switch),
             outcome,
             reason,
@@ -348,8 +349,8 @@
         let now = self.now;
         let is_due = |pending: &&PendingAttempt| pending.switch == switch && pending.times_out_at <= now;
         let due: Vec<PendingAttempt> = self.pending.iter().filter(is_due).copied().collect();
-        for PendingAttempt { call, attempt, switch, .. } in due {
-            self.end_attempt(call, attempt, switch, Outcome::TimedOut, EndReason::Unknown, false);
+        for PendingAttempt { call, attempt_number, switch, .. } in due {
+            self.end_attempt(call, attempt_number, switch, Outcome::TimedOut, EndReason::Unknown, false);
         }
     }
 
@@ -367,12 +368,12 @@
         panic!("none of {MAX_CALLS} calls to exchange {destination} was sent");
     }
 
-    /// Offers calls to the exchanges 1 and 2 in turn, one per `interval`. Each that is sent is established at
+    /// Offers calls to the exchanges 1 and 2 in turn, one per `interval`. Each that is sent is answered at
     /// once, and `set_up_delay` is reported as its set-up delay.
     pub fn run_steady_traffic(&mut self, ids: Range<u64>, set_up_delay: Micros, interval: Micros) {
         for id in ids {
             self.new_call(id, 1 + (id % 2) as i64);
-            self.establish_if_pending(id, set_up_delay);
+            self.answer_if_pending(id, set_up_delay);
             self.advance(interval);
         }
     }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -84,7 +84,7 @@
     for _ in 0..200 {
         id += 1;
         harness.new_call(id, 1);
-        harness.establish(id, 0, millis(60));
+        harness.answer(id, 0, millis(60));
         harness.advance(millis(100));
     }
     let warm_set_ups = harness.set_ups.len();
@@ -94,7 +94,7 @@
     for _ in 0..40 {
         id += 1;
         harness.new_call(id, 1);
-        harness.establish(id, 0, millis(60));
+        harness.answer(id, 0, millis(60));
         harness.advance(millis(100));
     }
     let cold_set_ups = harness.set_ups.len() - warm_set_ups;
@@ -122,7 +122,7 @@
         for _ in 0..80 {
             id += 1;
             harness.new_call(id, 1);
-            harness.establish_if_pending(id, millis(60));
+            harness.answer_if_pending(id, millis(60));
             harness.advance(millis(100));
         }
         set_up_counts.push(harness.set_ups.len() - set_ups_before);
@@ -143,7 +143,7 @@
         // Answers of another processor show that the own processor is not the cause.
         id += 1;
         harness.new_call(id, 2);
-        harness.establish(id, 0, millis(60));
+        harness.answer(id, 0, millis(60));
         id += 1;
         harness.new_call(id, 1);
         harness.advance(millis(150));
@@ -161,10 +161,10 @@
     assert!((1..=4).contains(&trials.len()), "{} trial calls in 3 s", trials.len());
     let last_trial = *trials.last().unwrap();
     if harness.has_pending_attempt(last_trial) {
-        harness.establish(last_trial, 0, millis(60));
+        harness.answer(last_trial, 0, millis(60));
     } else {
         let trial = harness.offer_until_sent(101, 1, 5000);
-        harness.establish(trial, 0, millis(60));
+        harness.answer(trial, 0, millis(60));
     }
     assert!(harness.has_logged("switch 101 answers again"));
 }
@@ -178,7 +178,7 @@
         for id in 1..100 {
             // Answers of another processor show that the own processor is not the cause.
             harness.new_call(1000 + id, 2);
-            harness.establish_if_pending(1000 + id, millis(60));
+            harness.answer_if_pending(1000 + id, millis(60));
             harness.new_call(id, 1);
             harness.advance(millis(150));
             harness.time_out_attempts(101);
@@ -259,11 +259,11 @@
             if to_near_exchange_too {
                 id += 1;
                 harness.new_call(id, 1);
-                harness.establish(id, 0, millis(20));
+                harness.answer(id, 0, millis(20));
             }
             id += 1;
             assert_eq!(harness.new_call(id, 2), vec![102]);
-            harness.establish(id, 0, millis(80));
+            harness.answer(id, 0, millis(80));
             harness.advance(millis(50));
         }
     };
@@ -286,7 +286,7 @@
             let rejected = if is_slow { &mut rejected_to_slow } else { &mut rejected_to_other };
             *rejected += 1;
         }
-        harness.establish_if_pending(id, if is_slow { millis(900) } else { millis(60) });
+        harness.answer_if_pending(id, if is_slow { millis(900) } else { millis(60) });
         harness.advance(millis(60));
     }
     assert!(
@@ -381,15 +381,15 @@
     }
     harness.report_free_circuits(101, 0.0);
     let first_tandem = harness.new_call(1, 1);
-    harness.establish(1, 0, millis(60));
+    harness.answer(1, 0, millis(60));
     for id in 2..6 {
         assert_eq!(harness.new_call(id, 1), first_tandem);
-        harness.establish(id, 0, millis(60));
+        harness.answer(id, 0, millis(60));
     }
 }
 
 #[test]
-fn an_at_most_once_call_that_may_have_been_executed_is_failed_and_never_sent_again() {
+fn an_at_most_once_call_that_may_have_been_processed_is_failed_and_never_sent_again() {
     let mut harness = Harness::new(|settings| settings.classes[0].repeat_policy = RepeatPolicy::AtMostOnce);
     harness.new_call(1, 1);
     harness.end_attempt(1, 0, 101, Outcome::Reset, EndReason::Unknown, false);
@@ -402,7 +402,7 @@
 fn late_repeated_and_unknown_events_change_nothing() {
     let mut harness = Harness::new(|_| {});
     let report = LoadReport { free_circuits: Some(f64::NAN), wait_us: Some(-5.0), ..LoadReport::default() };
-    harness.handle(Event::Established { call: CallId(77), attempt: 3, set_up_delay: millis(5) });
+    harness.handle(Event::CallAnswered { call: CallId(77), attempt_number: 3, set_up_delay: millis(5) });
     harness.end_attempt(77, 0, 101, Outcome::TimedOut, EndReason::Unknown, false);
     harness.end_attempt(77, 9, 999, Outcome::Completed, EndReason::Unknown, true);
     harness.handle(Event::CallerGone(CallId(77)));
@@ -457,8 +457,8 @@
 
 #[test]
 fn where_answers_are_quick_an_unanswered_set_up_is_repeated_within_its_target() {
-    // Answers can get lost although the set-up was executed. An attempt that may take the whole set-up target
-    // leaves no time for another.
+    // Answers can get lost although the set-up was processed. An attempt that may take the whole set-up
+    // target leaves no time for another.
     let mut harness = Harness::new(|_| {});
     harness.run_steady_traffic(100..130, millis(60), millis(100));
     let offered_at = harness.now;
@@ -497,9 +497,9 @@
     assert_eq!(set_ups_and_final_responses(&harness, 2), (4, 0));
     fail_attempt(&mut harness, 2, 3);
     assert_eq!(set_ups_and_final_responses(&harness, 2), (4, 1));
-    // A call that is established ends the series of failures.
+    // A call that is answered ends the series of failures.
     harness.new_call(3, 1);
-    harness.establish(3, 0, millis(60));
+    harness.answer(3, 0, millis(60));
     harness.new_call(4, 1);
     fail_attempt(&mut harness, 4, 0);
     assert_eq!(set_ups_and_final_responses(&harness, 4), (1, 1));
@@ -507,7 +507,8 @@
 
 #[test]
 fn a_redial_is_known_by_its_number_and_its_target_runs_from_the_first_try() {
-    // Callers that do not mark their redials would otherwise get the full value of a first try.
+    // Callers that do not mark their redials would otherwise get the full value of a call without an
+    // earlier try.
     let mut harness = Harness::new(|_| {});
     harness.run_steady_traffic(100..130, millis(60), millis(100));
     harness.report_free_circuits(101, 0.0);
@@ -566,7 +567,7 @@
         let mut id = 1;
         for _ in 0..5 {
             harness.new_call(id, 1);
-            harness.establish_if_pending(id, millis(60));
+            harness.answer_if_pending(id, millis(60));
             id += 1;
             harness.advance(millis(8000));
         }
@@ -581,7 +582,7 @@
         let mut interval = millis(2000 * gatekeeper as i64 / gatekeeper_count as i64).max(CLOCK_STEP);
         while harness.now < started_at + warm_up_time {
             harness.new_call(id, 1);
-            harness.establish_if_pending(id, millis(60));
+            harness.answer_if_pending(id, millis(60));
             id += 1;
             harness.advance(interval);
             interval = millis(2000);
@@ -634,7 +635,7 @@
     let set_ups_before = harness.set_ups.len();
     let final_responses_before = harness.final_responses.len();
     harness.handle(Event::CallerGone(CallId(77)));
-    harness.handle(Event::Established { call: CallId(77), attempt: 3, set_up_delay: -5 });
+    harness.handle(Event::CallAnswered { call: CallId(77), attempt_number: 3, set_up_delay: -5 });
     harness.end_attempt(77, 9, 55_555, Outcome::Reset, EndReason::RejectedByTandem, true);
     harness.handle(Event::Timer(u64::MAX));
     for data in [vec![], vec![0xff; 256], vec![7; 10_000]] {
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -2,7 +2,7 @@
 //! watches every action: exactly one final response (rejection or failure) in time for a call that is not
 //! answered, one attempt at a time, the drain grace, the wait for the release, the attempt limit, the routes
 //! of transit calls, no set-ups to the own exchange, and no repeat of at-most-once calls that may have been
-//! executed.
+//! processed.
 
 mod common;
 use common::{CLOCK_STEP, RunningTimer, list_entry, millis, secs, settings};
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Copy)]
 struct PendingAttempt {
-    attempt: u32,
+    attempt_number: u32,
     switch: u64,
     times_out_at: Micros,
 }
@@ -31,9 +31,9 @@
     attempts: u32,
     /// When an attempt was last reset, cancelled or timed out: its switch may still have to release it.
     release_awaited_since: Option<Micros>,
-    /// An attempt may have been executed.
-    maybe_executed: bool,
-    established: bool,
+    /// A switch may have acted on the set-up of an attempt.
+    maybe_processed: bool,
+    answered: bool,
     /// The call has its final response or has ended.
     closed: bool,
 }
@@ -79,10 +79,7 @@
                     self.set_up_count += 1;
                     let SwitchRecord { exchange_number, leaving_since } = self.switches[&switch.0];
                     let call = self.calls.get_mut(&call.0).expect("set-up for an unknown call");
-                    assert!(
-                        !call.closed && !call.established,
-                        "set-up after the call was closed or established"
-                    );
+                    assert!(!call.closed && !call.answered, "set-up after the call was closed or answered");
                     assert!(call.pending.is_none(), "two attempts of a call in progress");
                     assert!(now < call.deadline, "set-up after the call's deadline");
                     if let Some(since) = leaving_since {
@@ -98,12 +95,15 @@
                     );
                     assert!(exchange_number != self.settings.own_exchange, "set-up to the own exchange");
                     assert!(
-                        !(at_most_once && call.maybe_executed),
-                        "at-most-once call repeated after it may have been executed"
+                        !(at_most_once && call.maybe_processed),
+                        "at-most-once call repeated after it may have been processed"
                     );
                     let times_out_at = now + timeout;
-                    call.pending =
-                        Some(PendingAttempt { attempt: call.attempts, switch: switch.0, times_out_at });
+                    call.pending = Some(PendingAttempt {
+                        attempt_number: call.attempts,
+                        switch: switch.0,
+                        times_out_at,
+                    });
                     call.attempts += 1;
                 }
                 Action::Reject { call, .. } | Action::Fail(call) => {
@@ -116,8 +116,8 @@
                     );
                     if matches!(action, Action::Reject { .. }) {
                         assert!(
-                            !(at_most_once && (call.maybe_executed || call.pending.is_some())),
-                            "at-most-once call rejected although it may have been executed"
+                            !(at_most_once && (call.maybe_processed || call.pending.is_some())),
+                            "at-most-once call rejected although it may have been processed"
                         );
                     }
                     call.closed = true;
@@ -125,8 +125,8 @@
                 Action::SetTimer { after, token } => {
                     self.timers.push(RunningTimer { expires_at: now + after, token });
                 }
-                Action::Cancel { call, attempt } => {
-                    assert!(self.settings.may_cancel && attempt < self.calls[&call.0].attempts);
+                Action::Cancel { call, attempt_number } => {
+                    assert!(self.settings.may_cancel && attempt_number < self.calls[&call.0].attempts);
                 }
                 Action::Probe(_) => assert!(self.settings.may_probe),
                 Action::Subscribe => assert!(self.settings.must_subscribe),
@@ -139,18 +139,18 @@
     fn end_attempt(&mut self, id: u64, outcome: Outcome, reason: EndReason) {
         let now = self.now;
         let call = self.calls.get_mut(&id).unwrap();
-        let Some(PendingAttempt { attempt, switch, .. }) = call.pending.take() else { return };
+        let Some(PendingAttempt { attempt_number, switch, .. }) = call.pending.take() else { return };
         if !matches!(outcome, Outcome::Congested | Outcome::NotSent | Outcome::Unreachable) {
-            call.maybe_executed = true;
+            call.maybe_processed = true;
         }
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
             call.release_awaited_since = Some(now);
         }
-        call.closed |= call.established || outcome == Outcome::Completed;
+        call.closed |= call.answered || outcome == Outcome::Completed;
         let call_closed = call.closed;
         self.handle(Event::AttemptEnded(AttemptEnd {
             call: CallId(id),
-            attempt,
+            attempt_number,
             switch: SwitchId(switch),
             outcome,
             reason,
@@ -174,7 +174,7 @@
         for id in timed_out {
             self.end_attempt(id, Outcome::TimedOut, EndReason::Unknown);
         }
-        for call in self.calls.values().filter(|call| !call.closed && !call.established) {
+        for call in self.calls.values().filter(|call| !call.closed && !call.answered) {
             assert!(now <= call.deadline + FINAL_RESPONSE_TOLERANCE, "no final response by the deadline");
         }
         if self.random_below(3) == 0 {
@@ -188,8 +188,8 @@
                 pending: None,
                 attempts: 0,
                 release_awaited_since: None,
-                maybe_executed: false,
-                established: false,
+                maybe_processed: false,
+                answered: false,
                 closed: false,
             };
             self.calls.insert(new_id, record);
@@ -214,14 +214,14 @@
             match self.random_below(14) {
                 0..4 => {
                     let call = self.calls.get_mut(&id).unwrap();
-                    if !call.closed && !call.established {
-                        call.established = true;
+                    if !call.closed && !call.answered {
+                        call.answered = true;
                         let pending = call.pending.as_mut().unwrap();
-                        // An established call ends as timed out 20 s later if nothing else ends it.
+                        // An answered call ends as timed out 20 s later if nothing else ends it.
                         pending.times_out_at += secs(20);
-                        let attempt = pending.attempt;
+                        let attempt_number = pending.attempt_number;
                         let set_up_delay = millis(40 + self.random_below(900) as i64);
-                        self.handle(Event::Established { call: CallId(id), attempt, set_up_delay });
+                        self.handle(Event::CallAnswered { call: CallId(id), attempt_number, set_up_delay });
                     }
                 }
                 4 => self.end_attempt(id, Outcome::Congested, EndReason::RejectedByTandem),
@@ -233,7 +233,7 @@
                 10 => self.end_attempt(id, Outcome::Completed, EndReason::Unknown),
                 11 => {
                     let call = self.calls.get_mut(&id).unwrap();
-                    if !call.established && !call.closed {
+                    if !call.answered && !call.closed {
                         call.closed = true;
                         self.handle(Event::CallerGone(CallId(id)));
                     }
