--- a/src/net/callers.rs
+++ b/src/net/callers.rs
@@ -228,7 +228,7 @@
     }
 
     /// Releases an answered call towards its caller: on the connection of its set-up if that is open and not
-    /// half-closed, otherwise on another one at [`TrustLevel::ValidMessage`] or higher, otherwise as soon as
+    /// half-closed, otherwise on another one at `TrustLevel::ValidMessage` or higher, otherwise as soon as
     /// there is a suitable connection.
     pub fn release(&mut self, now: Micros, id: Option<ConnectionId>, tag: Tag, cause: u8) {
         let is_fully_open =
--- a/src/net/switches.rs
+++ b/src/net/switches.rs
@@ -207,7 +207,7 @@
     }
 
     /// Returns true if every switch in service that has an address has sent a message, could not be reached
-    /// or was silent for [`SILENCE_TIMEOUT`] after a connection to it was established.
+    /// or was silent for `SILENCE_TIMEOUT` after a connection to it was established.
     pub fn all_initial_states_known(&self) -> bool {
         self.by_id.values().all(|switch| {
             switch.initial_state_known || !switch.has_address() || switch.listed.health != Health::InService
